--- a/benchmarks/platform_load.py
+++ b/benchmarks/platform_load.py
@@ -20,8 +20,8 @@
 from quetzalwall.process.knowledge.knowledge import create_knowledge
 from quetzalwall.process.knowledge.peer_report import PeerCard
 from quetzalwall.process.limits.cold_pacing import create_cold_pacing
-from quetzalwall.request.choose import Refusal, create_chooser
-from quetzalwall.request.estimate import create_durations
+from quetzalwall.request.endpoint_chooser import Rejection, create_chooser
+from quetzalwall.request.latency_model import create_latency_model
 from quetzalwall.version.model import Configuration, Limits, Route, Service
 
 __all__ = ["Pattern", "Result", "play"]
@@ -92,10 +92,10 @@
         knowledge.apply("servers", player.rows, True, False)
         self.endpoints = endpoints
         self.knowledge = knowledge
-        self.durations = create_durations(region)
+        self.latency = create_latency_model(region)
         self.chooser = create_chooser(
             endpoints,
-            self.durations,
+            self.latency,
             create_cold_pacing(card.name, Bounds()),
             self.fleet,
             random.Random(number),
@@ -262,11 +262,13 @@
         state.note_success()
         state.note_held(req.object)
         req.instance.fleet.note_held(state.name, req.object)
-        if req.choice.wait_s == 0:
+        if req.choice.queueing_delay_s == 0:
             seconds = req.work / req.choice.slowness
-            durations = req.instance.durations
-            durations.note_work(self.route, SERVICE, req.choice.held, seconds)
-            durations.note_depth(self.route, SERVICE, req.choice.depth, seconds)
+            latency = req.instance.latency
+            latency.record_work(self.route, SERVICE, req.choice.cached, seconds)
+            latency.learn_cache_size(
+                self.route, SERVICE, req.choice.reuse_distance, seconds
+            )
 
     def time_out(self, req):
         if req.work is None:
@@ -291,7 +293,7 @@
         player.pattern.timeout_s,
         player.now,
     )
-    if isinstance(choice, Refusal):
+    if isinstance(choice, Rejection):
         req.retry_after_s = choice.retry_after_s
         return None
     choice.state.own_open += 1
--- a/quetzalwall/connection/front_server.py
+++ b/quetzalwall/connection/front_server.py
@@ -11,7 +11,7 @@
     status_line,
 )
 from quetzalwall.logs import describe_failure, get_logger, log_event
-from quetzalwall.request.whole_answer import Answer
+from quetzalwall.request.response import Response
 
 __all__ = ["create_front_application", "create_front_server"]
 
@@ -51,9 +51,9 @@
     Parameters
     ----------
     serve : callable
-        From a WSGI environment to an `Answer`.
+        From a WSGI environment to an `Response`.
     malformed : callable
-        From a `BadRequest` to an `Answer`.
+        From a `BadRequest` to an `Response`.
     stopping : callable
         Whether connections should end after their answers.
     held : HeldBytes
@@ -84,7 +84,7 @@
             raise ConnectionResetError(errno.ECONNRESET, str(exc)) from exc
         except Exception as exc:
             log_event(LOG, "failed", "error", **describe_failure(exc))
-            return Answer(502, [("Connection", "close")], b"unexpected failure\n")
+            return Response(502, [("Connection", "close")], b"unexpected failure\n")
 
     return application
 
--- a/quetzalwall/connection/product_headers.py
+++ b/quetzalwall/connection/product_headers.py
@@ -16,7 +16,7 @@
     passed_headers,
 )
 from quetzalwall.connection.http_server import BadRequest
-from quetzalwall.request.whole_answer import Answer
+from quetzalwall.request.response import Response
 
 __all__ = ["MOST_KEY_CHARACTERS", "OUTCOME_HEADER", "PRODUCT_DIALECT"]
 
@@ -103,7 +103,7 @@
         (PEER_HEADER, peer),
     ]
     raw = json.dumps(body, sort_keys=True).encode()
-    return Answer(status, fixed + headers, raw)
+    return Response(status, fixed + headers, raw)
 
 
 PRODUCT_DIALECT = Dialect(
--- a/quetzalwall/platform/headers.py
+++ b/quetzalwall/platform/headers.py
@@ -12,7 +12,7 @@
     passed_headers,
 )
 from quetzalwall.connection.http_server import BadRequest
-from quetzalwall.request.whole_answer import Answer, refusal
+from quetzalwall.request.response import Response, rejection_response
 
 __all__ = [
     "MOST_ADDRESSES",
@@ -219,17 +219,17 @@
 
 
 def _refuse(retry_after_s, step, reason, peer=""):
-    return refusal(retry_after_s, reason)
+    return rejection_response(retry_after_s, reason)
 
 
 def _fail(status, exc):
     body = f"{exc.step}: {exc.message}\n".encode()
-    return Answer(status, [("Content-Type", "text/plain")], body)
+    return Response(status, [("Content-Type", "text/plain")], body)
 
 
 def _malformed(exc):
     body = f"{exc.message}\n".encode()
-    return Answer(exc.status, [("Content-Type", "text/plain")], body)
+    return Response(exc.status, [("Content-Type", "text/plain")], body)
 
 
 PLATFORM_DIALECT = Dialect(
--- a/quetzalwall/process/front.py
+++ b/quetzalwall/process/front.py
@@ -53,11 +53,11 @@
 from quetzalwall.process.storage.store_table import create_store_table
 from quetzalwall.process.storage.write_batcher import create_write_batcher
 from quetzalwall.process.tasks import repeat
-from quetzalwall.request.choose import create_chooser
 from quetzalwall.request.claim import create_claims
-from quetzalwall.request.estimate import create_durations
-from quetzalwall.request.grace import create_grace
-from quetzalwall.request.serve import create_request_server
+from quetzalwall.request.endpoint_chooser import create_chooser
+from quetzalwall.request.grace_period import create_grace_period
+from quetzalwall.request.latency_model import create_latency_model
+from quetzalwall.request.request_server import create_request_server
 
 __all__ = ["Front", "create_front", "run_front"]
 
@@ -135,10 +135,10 @@
             create_weighted_split(rng),
             create_shifts(self.endpoints, self.fleet, rng, now),
         )
-        self._grace = create_grace(now)
-        durations = create_durations(settings.region)
+        self._grace = create_grace_period(now)
+        latency = create_latency_model(settings.region)
         chooser = create_chooser(
-            self.endpoints, durations, self.limits.cold, self.fleet, rng
+            self.endpoints, latency, self.limits.cold, self.fleet, rng
         )
         self._store = create_store_client(*settings.store, STORE_TIMEOUT_S)
         self.operators = self._batcher = claims = None
@@ -153,7 +153,7 @@
             dialect,
             self.knowledge,
             chooser,
-            durations,
+            latency,
             self.limits,
             claims,
             self.metrics,
@@ -177,7 +177,10 @@
         """Begin service."""
         settings, listen = self.settings, self.settings.listen
         application = create_front_application(
-            self.server.serve, self.server.malformed, lambda: self.stopping, self.held
+            self.server.serve,
+            self.server.malformed_response,
+            lambda: self.stopping,
+            self.held,
         )
         callers = most_connections(settings.memory_mb, settings.connections, "callers")
         self._servers = {
--- a/quetzalwall/process/front_interfaces.py
+++ b/quetzalwall/process/front_interfaces.py
@@ -19,7 +19,7 @@
 )
 from quetzalwall.process.memory_plan import most_connections
 from quetzalwall.process.status import instance_status
-from quetzalwall.request.lookup import draw_by_link, order_instances
+from quetzalwall.request.lookup import order_instances, sample_by_bandwidth
 
 __all__ = ["create_interfaces"]
 
@@ -157,7 +157,7 @@
 def _instances_for(front, region):
     live = front.fleet.live()
     near = [card for card in live if card.region == region] or live
-    chosen = draw_by_link(near, LOOKUP_ANSWERS, front.rng)
+    chosen = sample_by_bandwidth(near, LOOKUP_ANSWERS, front.rng)
     if len(chosen) > MOST_ADDRESSES:
         return front.rng.sample(chosen, MOST_ADDRESSES)
     return chosen
--- a/quetzalwall/process/tests/test_front.py
+++ b/quetzalwall/process/tests/test_front.py
@@ -175,7 +175,7 @@
         assert body["addresses"] == [f"{second.settings.address}:{site.ports[0]}"]
         gevent.joinall(running)
         assert [job.value[0] for job in running] == [200] * 4
-        wait_for(lambda: first._grace.taking_s() == 0.0)
+        wait_for(lambda: first._grace.accept_limit_s() == 0.0)
         status, headers, _ = site.get("/book/1", method="POST")
         assert status == 503 and headers["Connection"] == "close"
         stop.join()
@@ -347,7 +347,7 @@
             wait_for(lambda: not front.endpoints.get("ep-1").usable())
         if why == "no allowance":
             front.limits.retries.has_room = lambda *args: False
-        front.server._chooser.gone_silent = lambda state, now: True
+        front.server._chooser.is_unresponsive = lambda state, now: True
         tasks = [
             gevent.spawn(site.get, f"/look/{n}", **{DEADLINE: "5000"}) for n in range(3)
         ]
--- a/quetzalwall/request/choice.py
+++ b/quetzalwall/request/choice.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-__all__ = ["STOPPING", "Choice", "Refusal"]
+__all__ = ["STOPPING", "Choice", "Rejection"]
 
 STOPPING_RETRY_S = 0.05  # another instance can take it at once
 
@@ -16,13 +16,13 @@
         The endpoint.
     rank : int
         Its rank for the object.
-    held : bool
+    cached : bool
         Whether it should still hold the object.
-    depth : int or None
+    reuse_distance : int or None
         Objects that it has served since it last served this one.
     expected_s : float
         Seconds until the answer.
-    wait_s : float
+    queueing_delay_s : float
         Part of it spent waiting for a slot.
     slowness : float
         How long work takes there, 1.0 being usual.
@@ -34,16 +34,16 @@
 
     state: object
     rank: int
-    held: bool
-    depth: int | None
+    cached: bool
+    reuse_distance: int | None
     expected_s: float
-    wait_s: float
+    queueing_delay_s: float
     slowness: float
     of: int
     limited: int = 0
 
 
-class Refusal(NamedTuple):
+class Rejection(NamedTuple):
     """Why no endpoint was chosen.
 
     Attributes
@@ -58,4 +58,4 @@
     retry_after_s: float
 
 
-STOPPING = Refusal("stopping", STOPPING_RETRY_S)
+STOPPING = Rejection("stopping", STOPPING_RETRY_S)
--- a/quetzalwall/request/choose.py
+++ b/quetzalwall/request/endpoint_chooser.py
@@ -11,11 +11,11 @@
 from quetzalwall.logs import get_logger, log_event
 from quetzalwall.process.knowledge.endpoint_table import HOLDERS
 from quetzalwall.process.limits.share import whole_share
-from quetzalwall.request.choice import STOPPING, Choice, Refusal
-from quetzalwall.request.estimate import wait_s
+from quetzalwall.request.choice import STOPPING, Choice, Rejection
 from quetzalwall.request.few import few_of
+from quetzalwall.request.latency_model import wait_s
 
-__all__ = ["Chooser", "Choice", "Refusal", "create_chooser"]
+__all__ = ["Chooser", "Choice", "Rejection", "create_chooser"]
 
 SETTLE_S = 0.06  # by which the first of them seems nearer
 SLOT_PART = 0.7  # of its work, by which a request delays those behind it
@@ -56,7 +56,7 @@
     ----------
     endpoints : EndpointTable
         The endpoints.
-    durations : Durations
+    latency : LatencyModel
         What work takes.
     cold_pacing : ColdPacing
         Which cold endpoints may get a request.
@@ -66,9 +66,9 @@
         Breaks ties, so that instances do not all choose the same endpoint.
     """
 
-    def __init__(self, endpoints, durations, cold_pacing, fleet, rng):
+    def __init__(self, endpoints, latency, cold_pacing, fleet, rng):
         self._endpoints = endpoints
-        self._durations = durations
+        self._latency = latency
         self._cold_pacing = cold_pacing
         self._fleet = fleet
         self._rng = rng
@@ -113,7 +113,7 @@
 
         Returns
         -------
-        Choice or Refusal
+        Choice or Rejection
         """
         order = {}
         if object_key is not None:
@@ -126,7 +126,7 @@
                 cfg, route, service, now, tried, states, region
             )
         if not candidates:
-            return Refusal("no endpoint", LEAST_RETRY_S * 2)
+            return Rejection("no endpoint", LEAST_RETRY_S * 2)
         costs = self._costs(route, service, candidates)
         best, least_key, ranks = None, math.inf, order.get
         for state in candidates:
@@ -137,7 +137,7 @@
         choice = Choice(*best, len(candidates))
         if not self._limit_allows(choice.state, now):
             choice = self._within_limits(costs, candidates, ranks, object_key, now)
-            if isinstance(choice, Refusal):
+            if isinstance(choice, Rejection):
                 return choice
         if not self.fits(route, choice, left_s, stop_s):
             return STOPPING
@@ -173,7 +173,7 @@
             # What is sent elsewhere counts as wanted: parts go by it.
             state.named.want(now)
             wait_s = min(wait_s, state.named.wait_s(now))
-        return Refusal("limited", _retry_after_s(wait_s))
+        return Rejection("limited", _retry_after_s(wait_s))
 
     def fits(self, route, choice, left_s, stop_s):
         """Return whether a request is sure enough to end before this instance does.
@@ -195,18 +195,18 @@
         """
         if left_s <= stop_s:
             return True
-        doubt_s = self._durations.most_work_s(route)
-        doubt_s -= self._durations.work_s(route, choice.held)
+        doubt_s = self._latency.most_work_s(route)
+        doubt_s -= self._latency.work_s(route, choice.cached)
         return choice.expected_s + choice.slowness * max(0.0, doubt_s) <= stop_s
 
     def _costs(self, route, service, candidates):
-        durations, crowding = self._durations, _crowding(candidates)
+        latency, crowding = self._latency, _crowding(candidates)
         regions = {state.region for state in candidates}
         return _Costs(
-            (durations.work_s(route, False), durations.work_s(route, True)),
-            durations.hold_s(service),
-            durations.kept(service),
-            {region: durations.round_trip_s(region) for region in regions},
+            (latency.work_s(route, False), latency.work_s(route, True)),
+            latency.hold_s(service),
+            latency.kept(service),
+            {region: latency.round_trip_s(region) for region in regions},
             SLOT_PART + CROWDED_SLOT_PART * crowding,
             SETTLE_S + CROWDED_SETTLE_S * crowding,
         )
@@ -245,15 +245,15 @@
 
     def _refuse(self, cfg, route, service, best, left_s):
         """Return why even the best endpoint is not to be used, or None."""
-        doubt_s = self._durations.work_s(route, best.held)
-        doubt_s -= self._durations.least_work_s(route, best.held)
-        retry_after_s = _retry_after_s(best.wait_s)
+        doubt_s = self._latency.work_s(route, best.cached)
+        doubt_s -= self._latency.least_work_s(route, best.cached)
+        retry_after_s = _retry_after_s(best.queueing_delay_s)
         if best.expected_s - best.slowness * doubt_s > left_s:
-            return Refusal("too late", retry_after_s)
-        if best.wait_s > self._longest_wait_s(cfg, route, service):
-            return Refusal("overload", retry_after_s)
+            return Rejection("too late", retry_after_s)
+        if best.queueing_delay_s > self._longest_wait_s(cfg, route, service):
+            return Rejection("overload", retry_after_s)
         if best.state.open() >= FULL_RATIO * best.state.entry.slots:
-            return Refusal("full", retry_after_s)
+            return Rejection("full", retry_after_s)
         return None
 
     def _longest_wait_s(self, cfg, route, service):
@@ -286,7 +286,7 @@
             return found
         return [state for state in found if state.region == region]
 
-    def gone_silent(self, state, now):
+    def is_unresponsive(self, state, now):
         """Return whether an endpoint that was chosen answers nobody any more.
 
         Parameters
@@ -307,7 +307,7 @@
         return _out_of_use(state, self._silence_limit_s(state.entry.service), now)
 
     def _silence_limit_s(self, service):
-        longest_s = self._durations.longest_s(service)
+        longest_s = self._latency.longest_s(service)
         return max(LEAST_SILENCE_S, SILENCE_RATIO * longest_s)
 
     def _full_regions(self, service):
@@ -381,16 +381,16 @@
     return min(MOST_RETRY_S, max(LEAST_RETRY_S, queue_s))
 
 
-def create_chooser(endpoints, durations, cold_pacing, fleet, rng):
+def create_chooser(endpoints, latency, cold_pacing, fleet, rng):
     """Return a chooser.
 
     Parameters
     ----------
-    endpoints, durations, cold_pacing, fleet, rng
+    endpoints, latency, cold_pacing, fleet, rng
         As of `Chooser`.
 
     Returns
     -------
     Chooser
     """
-    return Chooser(endpoints, durations, cold_pacing, fleet, rng)
+    return Chooser(endpoints, latency, cold_pacing, fleet, rng)
--- a/quetzalwall/request/grace.py
+++ b/quetzalwall/request/grace_period.py
@@ -2,13 +2,13 @@
 
 import math
 
-__all__ = ["Grace", "create_grace"]
+__all__ = ["GracePeriod", "create_grace_period"]
 
 ACCEPT_PART = 0.4  # of the grace, in which requests are taken that end in time
 ANSWER_PART = 0.9  # of the grace, by which what is taken then must be answered
 
 
-class Grace:
+class GracePeriod:
     """The time between the signal to stop an instance and its end.
 
     Parameters
@@ -43,7 +43,7 @@
         self.end = now + ANSWER_PART * seconds
         self.stopping = True
 
-    def taking_s(self):
+    def accept_limit_s(self):
         """Return the seconds in which a new request must be answered.
 
         Returns
@@ -55,16 +55,16 @@
         return 0.0 if now > self._accept_until else self.end - now
 
 
-def create_grace(monotonic):
+def create_grace_period(monotonic):
     """Return the grace of an instance that is not stopping.
 
     Parameters
     ----------
     monotonic
-        As of `Grace`.
+        As of `GracePeriod`.
 
     Returns
     -------
-    Grace
+    GracePeriod
     """
-    return Grace(monotonic)
+    return GracePeriod(monotonic)
--- a/quetzalwall/request/estimate.py
+++ b/quetzalwall/request/latency_model.py
@@ -2,7 +2,7 @@
 
 import math
 
-__all__ = ["Durations", "create_durations"]
+__all__ = ["LatencyModel", "create_latency_model"]
 
 WEIGHT = 0.03  # of a new duration in the mean, once enough are known
 FAR_S = 0.07  # round trip to another region until one has been measured
@@ -21,7 +21,7 @@
 HELD_PART = 0.5  # of a first guess, that an endpoint with the object takes
 
 
-class Durations:
+class LatencyModel:
     """Durations of work by route, and round trips by region.
 
     Parameters
@@ -157,7 +157,7 @@
         """
         return self._kept.get(service, FIRST_KEPT)
 
-    def note_depth(self, route, service, depth, seconds):
+    def learn_cache_size(self, route, service, depth, seconds):
         """Learn from an answer how many objects an endpoint holds.
 
         Parameters
@@ -226,7 +226,7 @@
         # A queue of new connections makes it longer; the least is the distance.
         self._distance[region] = min(seconds, old + 0.05 * (seconds - old))
 
-    def note_work(self, route, service, held, seconds):
+    def record_work(self, route, service, held, seconds):
         """Record how long an endpoint worked on a request, at usual speed.
 
         Parameters
@@ -283,7 +283,7 @@
     return round(max(0.0, ahead + 1 - free_part * slots) / slots * hold_s, 9)
 
 
-def create_durations(region):
+def create_latency_model(region):
     """Return durations of which nothing is learned yet.
 
     Parameters
@@ -293,9 +293,9 @@
 
     Returns
     -------
-    Durations
+    LatencyModel
     """
-    return Durations(region)
+    return LatencyModel(region)
 
 
 def least(value, other):
--- a/quetzalwall/request/lookup.py
+++ b/quetzalwall/request/lookup.py
@@ -2,7 +2,7 @@
 
 import xxhash
 
-__all__ = ["draw_by_link", "order_instances"]
+__all__ = ["sample_by_bandwidth", "order_instances"]
 
 ENOUGH_MBPS = 100.0  # beyond it the processor, not the link, limits an instance
 
@@ -48,7 +48,7 @@
     return chosen
 
 
-def draw_by_link(cards, count, rng):
+def sample_by_bandwidth(cards, count, rng):
     """Draw instances for one look-up, in proportion to the room of their links.
 
     Callers use the instances of an answer alike, so that an instance whose link is
--- a/quetzalwall/request/serve.py
+++ b/quetzalwall/request/request_server.py
@@ -15,8 +15,8 @@
     NotSent,
     OutcomeUnknown,
 )
-from quetzalwall.request.choice import STOPPING, Refusal
-from quetzalwall.request.estimate import least
+from quetzalwall.request.choice import STOPPING, Rejection
+from quetzalwall.request.latency_model import least
 from quetzalwall.request.note_limit import note_limit
 from quetzalwall.request.request_log import (
     log_choice,
@@ -25,10 +25,10 @@
     log_no_route,
     log_refusal,
 )
+from quetzalwall.request.response import Response
 from quetzalwall.request.run_once import run_once
 from quetzalwall.request.still_wanted import check_caller, check_wanted
 from quetzalwall.request.unanswered import note_unanswered
-from quetzalwall.request.whole_answer import Answer
 from quetzalwall.request.work import Ended, Request, graver, object_code
 from quetzalwall.version.model import find_route
 
@@ -53,7 +53,7 @@
         Configuration, endpoints and fleet.
     chooser : Chooser
         Chooses endpoints.
-    durations : Durations
+    latency : LatencyModel
         Learns what work takes.
     limits : FleetLimits
         Retry allowance, weighted split and shifts.
@@ -62,7 +62,7 @@
         callers give them none.
     metrics : FrontMetrics
         Counters.
-    grace : Grace
+    grace : GracePeriod
         Bounds what a stopping instance takes.
     monotonic : callable
         Clock in seconds.
@@ -73,7 +73,7 @@
         dialect,
         knowledge,
         chooser,
-        durations,
+        latency,
         limits,
         claims,
         metrics,
@@ -85,7 +85,7 @@
         self._claims = claims
         self._knowledge = knowledge
         self._chooser = chooser
-        self._durations = durations
+        self._latency = latency
         self._limits = limits
         self._metrics = metrics
         self._monotonic = monotonic
@@ -100,7 +100,7 @@
 
         Returns
         -------
-        Answer
+        Response
 
         Raises
         ------
@@ -110,11 +110,11 @@
             The caller closed its connection.
         """
         req = self._read(environ)
-        if isinstance(req, Answer):
+        if isinstance(req, Response):
             return req
         # It may have given up while its request waited for this process.
         check_caller(req)
-        if self._grace.taking_s() == 0:
+        if self._grace.accept_limit_s() == 0:
             return self._refuse(req.facts, req.route.name, "admission", *STOPPING)
         self._limits.retries.note_request(req.service, req.arrived)
         watcher = None
@@ -123,7 +123,7 @@
         try:
             ended = self._serve(req)
         except CallerLeft:
-            self._finish(req, Ended(Answer(0, [], b""), "caller-left"))
+            self._finish(req, Ended(Response(0, [], b""), "caller-left"))
             raise
         except gevent.GreenletExit:
             stopped = OutcomeUnknown("the instance stopped", "await", "")
@@ -134,7 +134,7 @@
         self._finish(req, ended)
         return ended.answer
 
-    def malformed(self, exc):
+    def malformed_response(self, exc):
         """Return the answer to a request that can't be read.
 
         Parameters
@@ -144,7 +144,7 @@
 
         Returns
         -------
-        Answer
+        Response
         """
         return self._dialect.malformed(exc)
 
@@ -199,7 +199,7 @@
             if attempt > 1 and not spare and not self._may_retry(req, failure):
                 break
             choice = spare.pop() if spare else self._choose(req, tried)
-            if isinstance(choice, Refusal):
+            if isinstance(choice, Rejection):
                 left_to_caller = choice is STOPPING and isinstance(failure, NotRun)
                 if failure is not None and not left_to_caller:
                     break
@@ -235,12 +235,12 @@
         instances = self._knowledge.fleet.size()
         if self._grace.stopping or req.deadline - now < LEAST_USEFUL_S:
             return False
-        if not self._chooser.gone_silent(state, now):
+        if not self._chooser.is_unresponsive(state, now):
             return False
         if not self._limits.retries.has_room(req.service, now, instances):
             return False
         choice = self._choose(req, tried)
-        if isinstance(choice, Refusal):
+        if isinstance(choice, Rejection):
             return False
         self._limits.retries.take(req.service, now, instances)
         spare.append(choice)
@@ -251,15 +251,15 @@
         left_s = req.deadline - now
         asked = (req.cfg, req.route, req.service, req.object_key, left_s, now, tried)
         # The next attempt of a request at work may begin at any time.
-        stop_s = self._grace.end - now if tried else self._grace.taking_s()
+        stop_s = self._grace.end - now if tried else self._grace.accept_limit_s()
         shift = self._limits.shifts.offered(req.service, now)
-        choice = Refusal("no shift", 0.0)
+        choice = Rejection("no shift", 0.0)
         if shift is not None:
             choice = self._chooser.choose(*asked, shift.shift.to, stop_s)
-        if isinstance(choice, Refusal):
+        if isinstance(choice, Rejection):
             shift = None
             choice = self._chooser.choose(*asked, None, stop_s)
-        if isinstance(choice, Refusal):
+        if isinstance(choice, Rejection):
             return choice
         if shift is not None:
             self._limits.shifts.take(shift, now)
@@ -302,13 +302,13 @@
         except EndpointError as exc:
             if not isinstance(exc, NotRun):
                 waited_s = self._monotonic() - began
-                self._durations.note_unfinished(req.route, waited_s)
+                self._latency.note_unfinished(req.route, waited_s)
             note_unanswered(state, exc, self._monotonic())
             raise
         finally:
             state.own_open -= 1
         if state.client.opened > opened:
-            self._durations.note_distance(state.region, state.client.connect_s)
+            self._latency.note_distance(state.region, state.client.connect_s)
         return self._judge(req, choice, answer, facts, began)
 
     def _check_wanted(self, req, choice):
@@ -338,13 +338,17 @@
         if req.object_key is not None:
             state.note_held(req.object_key)
             self._knowledge.fleet.note_held(state.name, req.object_key)
-        if choice.wait_s == 0 and not state.cold(now):
-            way_s = self._durations.round_trip_s(state.region)
+        if choice.queueing_delay_s == 0 and not state.cold(now):
+            way_s = self._latency.round_trip_s(state.region)
             seconds = max(0.001, now - began - way_s) / choice.slowness
-            durations = self._durations
-            durations.note_work(req.route, req.service, choice.held, seconds)
-            durations.note_depth(req.route, req.service, choice.depth, seconds)
-        return Answer(answer.status, self._dialect.answered(facts.headers), answer.body)
+            latency = self._latency
+            latency.record_work(req.route, req.service, choice.cached, seconds)
+            latency.learn_cache_size(
+                req.route, req.service, choice.reuse_distance, seconds
+            )
+        return Response(
+            answer.status, self._dialect.answered(facts.headers), answer.body
+        )
 
     def _failed(self, req, failure):
         if isinstance(failure, NotRun):
@@ -374,13 +378,13 @@
 
 
 def create_request_server(
-    dialect, knowledge, chooser, durations, limits, claims, metrics, grace, monotonic
+    dialect, knowledge, chooser, latency, limits, claims, metrics, grace, monotonic
 ):
     """Return the server of callers' requests.
 
     Parameters
     ----------
-    dialect, knowledge, chooser, durations, limits, claims, metrics, grace, monotonic
+    dialect, knowledge, chooser, latency, limits, claims, metrics, grace, monotonic
         As of `RequestServer`.
 
     Returns
@@ -391,7 +395,7 @@
         dialect,
         knowledge,
         chooser,
-        durations,
+        latency,
         limits,
         claims,
         metrics,
--- a/quetzalwall/request/whole_answer.py
+++ b/quetzalwall/request/response.py
@@ -2,10 +2,10 @@
 
 from typing import NamedTuple
 
-__all__ = ["Answer", "refusal"]
+__all__ = ["Response", "rejection_response"]
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """An answer to a caller.
 
     Attributes
@@ -23,7 +23,7 @@
     body: bytes
 
 
-def refusal(retry_after_s, reason):
+def rejection_response(retry_after_s, reason):
     """Return the answer that says that a request has not run and never will.
 
     Parameters
@@ -35,7 +35,7 @@
 
     Returns
     -------
-    Answer
+    Response
     """
     headers = [("Retry-After", f"{retry_after_s:.2f}"), ("Content-Type", "text/plain")]
-    return Answer(503, headers, f"not run: {reason}\n".encode())
+    return Response(503, headers, f"not run: {reason}\n".encode())
--- a/quetzalwall/request/run_once.py
+++ b/quetzalwall/request/run_once.py
@@ -4,7 +4,7 @@
 from quetzalwall.exceptions import IncompleteAnswer, NotRun
 from quetzalwall.request.claim import Claim, RecordedAnswer, request_digest
 from quetzalwall.request.request_log import log_refusal
-from quetzalwall.request.whole_answer import Answer
+from quetzalwall.request.response import Response
 from quetzalwall.request.work import Ended
 
 __all__ = ["run_once"]
@@ -79,7 +79,7 @@
 def _answer_repeat(dialect, conflict):
     if conflict.state == "done" and conflict.answer is not None:
         kept = conflict.answer
-        answer = Answer(kept.status, [*kept.headers, REPEATED], kept.body)
+        answer = Response(kept.status, [*kept.headers, REPEATED], kept.body)
         return Ended(answer, "answered")
     if conflict.state == "mismatch":
         raise BadRequest(422, "idempotency key was used for another request")
--- a/quetzalwall/request/still_wanted.py
+++ b/quetzalwall/request/still_wanted.py
@@ -39,7 +39,7 @@
         Tells which endpoints may get requests.
     chooser : Chooser
         Tells what fits into the time left.
-    grace : Grace
+    grace : GracePeriod
         Bounds what a stopping instance sends.
     now : float
         Monotonic seconds.
--- a/quetzalwall/request/tests/test_choices_at_scale.py
+++ b/quetzalwall/request/tests/test_choices_at_scale.py
@@ -12,8 +12,8 @@
 from quetzalwall.process.knowledge.fleet import create_fleet
 from quetzalwall.process.knowledge.peer_report import PeerCard
 from quetzalwall.process.limits.cold_pacing import create_cold_pacing
-from quetzalwall.request.choose import create_chooser
-from quetzalwall.request.estimate import create_durations
+from quetzalwall.request.endpoint_chooser import create_chooser
+from quetzalwall.request.latency_model import create_latency_model
 from quetzalwall.tests.platform_fixtures import HOST, ManualClock, config_body
 from quetzalwall.version.model import EndpointEntry
 
@@ -42,7 +42,7 @@
     for n in range(1, instances):
         fleet.introduce(PeerCard(f"front-{n}", "north", "a", "127.0.0.1"))
     cold = create_cold_pacing(card.name, Bounds())
-    return create_chooser(table, create_durations("north"), cold, fleet, rng)
+    return create_chooser(table, create_latency_model("north"), cold, fleet, rng)
 
 
 def desk():
--- a/quetzalwall/request/tests/test_few.py
+++ b/quetzalwall/request/tests/test_few.py
@@ -1,6 +1,6 @@
 import random
 
-from quetzalwall.request import choose
+from quetzalwall.request import endpoint_chooser
 from quetzalwall.request.few import MOST_WEIGHED, few_of
 from quetzalwall.request.tests.test_choices_at_scale import LEFT_S, chooser_of, desk
 
@@ -56,14 +56,14 @@
     taken = {}
     for most in (MOST_WEIGHED, COUNT):
         chooser, rng = chooser_of(30, COUNT, 0.0), random.Random(7)
-        few = choose.few_of
+        few = endpoint_chooser.few_of
         if most == COUNT:
-            choose.few_of = lambda states, *_: states
+            endpoint_chooser.few_of = lambda states, *_: states
         try:
             taken[most] = 0.0
             for key in range(PLAYS):
                 loaded(chooser, rng)
                 taken[most] += choice_of(chooser, key).expected_s / PLAYS
         finally:
-            choose.few_of = few
+            endpoint_chooser.few_of = few
     assert taken[MOST_WEIGHED] < (1 + MOST_LOSS) * taken[COUNT]
--- a/quetzalwall/request/work.py
+++ b/quetzalwall/request/work.py
@@ -5,7 +5,7 @@
 import xxhash
 
 from quetzalwall.exceptions import NotRun
-from quetzalwall.request.whole_answer import Answer
+from quetzalwall.request.response import Response
 
 __all__ = ["Ended", "Request", "graver", "object_code"]
 
@@ -56,7 +56,7 @@
 
     Attributes
     ----------
-    answer : Answer
+    answer : Response
         The caller's answer.
     outcome : str
         ``"answered"``, ``"refused"``, ``"not-run"`` or ``"unknown"``.
@@ -64,7 +64,7 @@
         Name of the endpoint that answered.
     """
 
-    answer: Answer
+    answer: Response
     outcome: str
     endpoint: str = ""
 
