--- a/benchmarks/cases/capacity.py
+++ b/benchmarks/cases/capacity.py
@@ -147,7 +147,7 @@
     host, port = STORE.split(":")
     store = create_store_client(host, int(port))
     writes = {"config/team/network": network, "config/head": head}
-    result = create_store_table(store).txn({}, writes)
+    result = create_store_table(store).transact({}, writes)
     store.close()
     assert result.committed
 
--- a/benchmarks/cases/decision_time.py
+++ b/benchmarks/cases/decision_time.py
@@ -9,7 +9,7 @@
 from quetzalwall.process.knowledge.endpoint_table import create_endpoint_table
 from quetzalwall.process.knowledge.fleet import create_fleet
 from quetzalwall.process.knowledge.peer_report import PeerCard
-from quetzalwall.process.limits.cold_pacing import create_cold_pacing
+from quetzalwall.process.limits.cold_start_limiter import create_cold_start_limiter
 from quetzalwall.request.endpoint_chooser import create_chooser
 from quetzalwall.request.latency_model import create_latency_model
 from quetzalwall.version.model import (
@@ -60,7 +60,7 @@
     card = PeerCard("one", "north", "north-a", "127.0.0.1")
     fleet = create_fleet(card, 1, endpoints, time.monotonic, 1)
     rng = random.Random(seed)
-    cold = create_cold_pacing("one", Bounds())
+    cold = create_cold_start_limiter("one", Bounds())
     chooser = create_chooser(endpoints, create_latency_model("north"), cold, fleet, rng)
     split = (("desk", 1.0),)
     route = Route("r", "h", "/", True, 2.0, 0.5, 1, 2, True, (), split)
--- a/benchmarks/platform_load.py
+++ b/benchmarks/platform_load.py
@@ -19,7 +19,7 @@
 from quetzalwall.process.knowledge.fleet import create_fleet
 from quetzalwall.process.knowledge.knowledge import create_knowledge
 from quetzalwall.process.knowledge.peer_report import PeerCard
-from quetzalwall.process.limits.cold_pacing import create_cold_pacing
+from quetzalwall.process.limits.cold_start_limiter import create_cold_start_limiter
 from quetzalwall.request.endpoint_chooser import Rejection, create_chooser
 from quetzalwall.request.latency_model import create_latency_model
 from quetzalwall.version.model import Configuration, Limits, Route, Service
@@ -96,7 +96,7 @@
         self.chooser = create_chooser(
             endpoints,
             self.latency,
-            create_cold_pacing(card.name, Bounds()),
+            create_cold_start_limiter(card.name, Bounds()),
             self.fleet,
             random.Random(number),
         )
--- a/quetzalwall/process/front.py
+++ b/quetzalwall/process/front.py
@@ -36,10 +36,10 @@
 from quetzalwall.process.knowledge.peer_report import PeerCard
 from quetzalwall.process.knowledge.peer_tables import create_peer_tables
 from quetzalwall.process.knowledge.store_watch import create_table_watch
-from quetzalwall.process.limits.cold_pacing import create_cold_pacing
+from quetzalwall.process.limits.cold_start_limiter import create_cold_start_limiter
 from quetzalwall.process.limits.fleet_limits import FleetLimits
-from quetzalwall.process.limits.retry_allowance import create_retry_allowance
-from quetzalwall.process.limits.shifting import create_shifts
+from quetzalwall.process.limits.retry_budget import create_retry_budget
+from quetzalwall.process.limits.traffic_shifts import create_traffic_shifts
 from quetzalwall.process.limits.weighted_split import create_weighted_split
 from quetzalwall.process.listeners import open_in_background, open_listener
 from quetzalwall.process.memory_plan import (
@@ -49,7 +49,7 @@
 )
 from quetzalwall.process.registration import register, unregister
 from quetzalwall.process.self_watch import PERIOD_S, create_self_watch
-from quetzalwall.process.storage.operators import create_operators
+from quetzalwall.process.storage.settings_admin import create_settings_admin
 from quetzalwall.process.storage.store_table import create_store_table
 from quetzalwall.process.storage.write_batcher import create_write_batcher
 from quetzalwall.process.tasks import repeat
@@ -130,21 +130,21 @@
         self.held = create_held_bytes(settings.memory_mb)
         self.metrics = create_front_metrics()
         self.limits = FleetLimits(
-            create_retry_allowance(settings.bounds),
-            create_cold_pacing(settings.instance, settings.bounds),
+            create_retry_budget(settings.bounds),
+            create_cold_start_limiter(settings.instance, settings.bounds),
             create_weighted_split(rng),
-            create_shifts(self.endpoints, self.fleet, rng, now),
+            create_traffic_shifts(self.endpoints, self.fleet, rng, now),
         )
         self._grace = create_grace_period(now)
         latency = create_latency_model(settings.region)
         chooser = create_chooser(
-            self.endpoints, latency, self.limits.cold, self.fleet, rng
+            self.endpoints, latency, self.limits.cold_start_limiter, self.fleet, rng
         )
         self._store = create_store_client(*settings.store, STORE_TIMEOUT_S)
         self.operators = self._batcher = claims = None
         if from_tree:
             table = create_store_table(self._store)
-            self.operators = create_operators(self.knowledge, table, clock)
+            self.operators = create_settings_admin(self.knowledge, table, clock)
             self._batcher = create_write_batcher(table, clock, rng)
             claims = create_claims(
                 self._batcher, clock, settings.instance, spawn=gevent.spawn
@@ -287,8 +287,8 @@
             return
         log_ignored(ignored)
         self._settings_seen = _modified(self._settings_file)
-        self.limits.retries.configure(settings.bounds)
-        self.limits.cold.configure(settings.bounds)
+        self.limits.retry_budget.configure(settings.bounds)
+        self.limits.cold_start_limiter.configure(settings.bounds)
         self.endpoints.domains = settings.domains
         self.settings = self.settings._replace(
             bounds=settings.bounds, domains=settings.domains, seeds=settings.seeds
@@ -321,12 +321,14 @@
         for state in self.endpoints:
             if state.client.idle:
                 state.client.close_stale()
-        self.limits.shifts.step()
+        self.limits.shifts.adjust()
         age_s = max(watch.look() for watch in self._watches.values())
         self.metrics.set_gauge("knowledge_age_seconds", age_s)
         if self.endpoints.forgotten != self._forgotten:
             self._forgotten = self.endpoints.forgotten
-            self.limits.cold.forget(lambda name: self.endpoints.get(name) is not None)
+            self.limits.cold_start_limiter.prune(
+                lambda name: self.endpoints.get(name) is not None
+            )
 
     def _make_room(self):
         for name, server in self._servers.items():
@@ -336,7 +338,7 @@
     def _take_configuration(self, cfg):
         self.limits.shifts.configure(cfg.shifts)
         routes = [route for routes in cfg.hosts.values() for route in routes]
-        self.limits.split.forget({(route.name, route.split) for route in routes})
+        self.limits.split.prune({(route.name, route.split) for route in routes})
         self.metrics.keep_routes({route.name for route in routes})
 
     def _check_settings(self):
--- a/quetzalwall/process/knowledge/knowledge.py
+++ b/quetzalwall/process/knowledge/knowledge.py
@@ -17,8 +17,8 @@
     decode_endpoint,
 )
 from quetzalwall.platform.store import RowChange, Rows
+from quetzalwall.process.storage.settings_tree import read_tree
 from quetzalwall.process.storage.store_table import SETTINGS_TABLE
-from quetzalwall.process.storage.tree_rows import read_tree
 
 __all__ = [
     "PLATFORM_TABLES",
--- a/quetzalwall/process/knowledge/named_limit.py
+++ b/quetzalwall/process/knowledge/named_limit.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 from quetzalwall.process.limits.share import rate_share, rendezvous_order
-from quetzalwall.process.window import SlidingWindow
+from quetzalwall.process.sliding_window import SlidingWindow
 
 __all__ = ["ENDED", "NamedLimit"]
 
@@ -135,7 +135,7 @@
         now : float
             Monotonic seconds.
         """
-        self._wanted.take(1, math.inf, now)
+        self._wanted.try_add(1, math.inf, now)
 
     def take(self, now):
         """Count a request that is sent.
@@ -145,8 +145,8 @@
         now : float
             Monotonic seconds.
         """
-        self._sent.take(1, math.inf, now)
-        self._recent.take(1, math.inf, now)
+        self._sent.try_add(1, math.inf, now)
+        self._recent.try_add(1, math.inf, now)
 
     def allows(self, endpoint, own, names, now):
         """Return whether this instance may send a request.
--- a/quetzalwall/process/limits/cold_pacing.py
+++ b/quetzalwall/process/limits/cold_start_limiter.py
@@ -1,9 +1,9 @@
 """Part of one instance of the rate at which cold endpoints get requests."""
 
 from quetzalwall.process.limits.share import rate_share, rendezvous_order
-from quetzalwall.process.window import SlidingWindow
+from quetzalwall.process.sliding_window import SlidingWindow
 
-__all__ = ["ColdPacing", "create_cold_pacing", "cold_share"]
+__all__ = ["ColdStartLimiter", "create_cold_start_limiter", "cold_share"]
 
 SPAN_S = 1.2  # requests sent within it may arrive within one second
 GRAIN_S = 0.05
@@ -37,7 +37,7 @@
     return rate_share(whole, instance, rendezvous_order(endpoint, instances))
 
 
-class ColdPacing:
+class ColdStartLimiter:
     """Requests to cold endpoints in the last second.
 
     Parameters
@@ -88,7 +88,7 @@
         share = self._share(endpoint, limit, instances)
         return share > 0 and self._window(endpoint).total(now) + 1 <= share
 
-    def note(self, endpoint, now):
+    def record_request(self, endpoint, now):
         """Count a request to a cold endpoint.
 
         Parameters
@@ -98,9 +98,9 @@
         now : float
             Monotonic seconds.
         """
-        self._window(endpoint).take(1, float("inf"), now)
+        self._window(endpoint).try_add(1, float("inf"), now)
 
-    def forget(self, known):
+    def prune(self, known):
         """Drop the counts of endpoints that are gone.
 
         Parameters
@@ -131,7 +131,7 @@
         return window
 
 
-def create_cold_pacing(instance, bounds):
+def create_cold_start_limiter(instance, bounds):
     """Return unused counts.
 
     Parameters
@@ -143,6 +143,6 @@
 
     Returns
     -------
-    ColdPacing
+    ColdStartLimiter
     """
-    return ColdPacing(instance, bounds)
+    return ColdStartLimiter(instance, bounds)
--- a/quetzalwall/process/limits/fleet_limits.py
+++ b/quetzalwall/process/limits/fleet_limits.py
@@ -2,9 +2,9 @@
 
 from typing import NamedTuple
 
-from quetzalwall.process.limits.cold_pacing import ColdPacing
-from quetzalwall.process.limits.retry_allowance import RetryAllowance
-from quetzalwall.process.limits.shifting import Shifts
+from quetzalwall.process.limits.cold_start_limiter import ColdStartLimiter
+from quetzalwall.process.limits.retry_budget import RetryBudget
+from quetzalwall.process.limits.traffic_shifts import TrafficShifts
 from quetzalwall.process.limits.weighted_split import WeightedSplit
 
 __all__ = ["FleetLimits"]
@@ -15,17 +15,17 @@
 
     Attributes
     ----------
-    retries : RetryAllowance
+    retry_budget : RetryBudget
         Retries of each service.
-    cold : ColdPacing
+    cold_start_limiter : ColdStartLimiter
         Requests to cold endpoints.
     split : WeightedSplit
         Services of a route by their weights.
-    shifts : Shifts
+    shifts : TrafficShifts
         Planned moves between regions.
     """
 
-    retries: RetryAllowance
-    cold: ColdPacing
+    retry_budget: RetryBudget
+    cold_start_limiter: ColdStartLimiter
     split: WeightedSplit
-    shifts: Shifts
+    shifts: TrafficShifts
--- a/quetzalwall/process/limits/retry_allowance.py
+++ b/quetzalwall/process/limits/retry_budget.py
@@ -1,15 +1,15 @@
 """Part of one instance of the retries that all instances may send."""
 
-from quetzalwall.process.window import SlidingWindow
+from quetzalwall.process.sliding_window import SlidingWindow
 
-__all__ = ["RetryAllowance", "create_retry_allowance"]
+__all__ = ["RetryBudget", "create_retry_budget"]
 
 GRAIN_S = 0.25
 RATIO_PART = 0.7  # requests of a window may be counted in the one before it
 SLACK_PART = 0.5
 
 
-class RetryAllowance:
+class RetryBudget:
     """Retries of one service in a sliding window.
 
     Parameters
@@ -33,7 +33,7 @@
         """
         self._bounds = bounds
 
-    def note_request(self, service, now):
+    def record_request(self, service, now):
         """Count a caller's request.
 
         Parameters
@@ -43,9 +43,9 @@
         now : float
             Monotonic seconds.
         """
-        self._window(self._requests, service).take(1, float("inf"), now)
+        self._window(self._requests, service).try_add(1, float("inf"), now)
 
-    def take(self, service, now, instances):
+    def try_acquire(self, service, now, instances):
         """Count a retry if it is allowed.
 
         Parameters
@@ -62,9 +62,9 @@
         bool
         """
         limit = self._limit(service, now, instances)
-        return self._window(self._retries, service).take(1, limit, now)
+        return self._window(self._retries, service).try_add(1, limit, now)
 
-    def has_room(self, service, now, instances):
+    def allows_retry(self, service, now, instances):
         """Return whether a retry would be allowed, without counting it.
 
         Parameters
@@ -96,7 +96,7 @@
         return window
 
 
-def create_retry_allowance(bounds):
+def create_retry_budget(bounds):
     """Return an unused allowance.
 
     Parameters
@@ -106,6 +106,6 @@
 
     Returns
     -------
-    RetryAllowance
+    RetryBudget
     """
-    return RetryAllowance(bounds)
+    return RetryBudget(bounds)
--- a/quetzalwall/process/limits/share.py
+++ b/quetzalwall/process/limits/share.py
@@ -2,12 +2,12 @@
 
 import xxhash
 
-__all__ = ["rate_share", "rendezvous_order", "whole_share"]
+__all__ = ["rate_share", "rendezvous_order", "even_share"]
 
 EVEN_PART = 0.2  # of what is divided by demand, for those who had none until now
 
 
-def whole_share(limit, key, own, names):
+def even_share(limit, key, own, names):
     """Return this instance's part of a limit that holds over all instances.
 
     Parameters
@@ -28,7 +28,7 @@
 
     Examples
     --------
-    >>> sum(whole_share(20, "move", name, "abcdefg") for name in "abcdefg")
+    >>> sum(even_share(20, "move", name, "abcdefg") for name in "abcdefg")
     20
     """
     part, rest = divmod(max(0, int(limit)), len(names))
--- a/quetzalwall/process/limits/tests/test_limits.py
+++ b/quetzalwall/process/limits/tests/test_limits.py
@@ -3,8 +3,11 @@
 from nose2.tools import params
 
 from quetzalwall.platform.settings import Bounds
-from quetzalwall.process.limits.cold_pacing import cold_share, create_cold_pacing
-from quetzalwall.process.limits.retry_allowance import create_retry_allowance
+from quetzalwall.process.limits.cold_start_limiter import (
+    cold_share,
+    create_cold_start_limiter,
+)
+from quetzalwall.process.limits.retry_budget import create_retry_budget
 from quetzalwall.process.limits.weighted_split import create_weighted_split
 from quetzalwall.version.model import Route
 
@@ -26,14 +29,14 @@
 
 def test_a_cold_endpoint_gets_no_more_than_its_rate_in_any_second():
     names = [f"front-{n}" for n in range(7)]
-    pacings = [create_cold_pacing(name, BOUNDS) for name in names]
+    pacings = [create_cold_start_limiter(name, BOUNDS) for name in names]
     rng = random.Random(1)
     sent = []
     for step in range(3000):
         now = step / 100
         for pacing in pacings:
             if rng.random() < 0.3 and pacing.allows("ep", 4.9, names, now):
-                pacing.note("ep", now)
+                pacing.record_request("ep", now)
                 sent.append(now)
     limit = 4.9 * BOUNDS.cold_overage + BOUNDS.cold_slack
     most = max(sum(1 for t in sent if at <= t < at + 1.0) for at in sent)
@@ -42,14 +45,14 @@
 
 def test_retries_of_all_instances_stay_within_the_budget():
     instances, per_s = 7, 100.0
-    allowances = [create_retry_allowance(BOUNDS) for _ in range(instances)]
+    allowances = [create_retry_budget(BOUNDS) for _ in range(instances)]
     retries = requests = 0
     for step in range(1000):
         now = step / 100
         allowance = allowances[step % instances]
-        allowance.note_request("desk", now)
+        allowance.record_request("desk", now)
         requests += 1
-        while allowance.take("desk", now, instances):
+        while allowance.try_acquire("desk", now, instances):
             retries += 1
     assert requests == per_s * 10
     assert retries <= BOUNDS.retry_ratio * requests + BOUNDS.retry_slack
--- a/quetzalwall/process/limits/tests/test_shifting.py
+++ b/quetzalwall/process/limits/tests/test_shifting.py
@@ -9,8 +9,8 @@
 from quetzalwall.process.knowledge.endpoint_table import create_endpoint_table
 from quetzalwall.process.knowledge.fleet import create_fleet
 from quetzalwall.process.knowledge.peer_report import PeerCard
-from quetzalwall.process.limits.share import whole_share
-from quetzalwall.process.limits.shifting import create_shifts
+from quetzalwall.process.limits.share import even_share
+from quetzalwall.process.limits.traffic_shifts import create_traffic_shifts
 from quetzalwall.tests.platform_fixtures import ManualClock
 from quetzalwall.version.model import EndpointEntry, Shift
 
@@ -26,7 +26,9 @@
         card = PeerCard(name, region, f"{region}-a", "127.0.0.1")
         self.fleet = create_fleet(card, 1, self.endpoints, clock.monotonic, 1)
         rng = random.Random(name)
-        self.shifts = create_shifts(self.endpoints, self.fleet, rng, clock.monotonic)
+        self.shifts = create_traffic_shifts(
+            self.endpoints, self.fleet, rng, clock.monotonic
+        )
         self.shifts.configure([MOVE])
         for domain in DOMAINS:
             entry = EndpointEntry(
@@ -36,9 +38,9 @@
 
     def move(self, now):
         """Offer one request; return whether it is moved."""
-        progress = self.shifts.offered("desk", now)
+        progress = self.shifts.choose_shift("desk", now)
         if progress is not None:
-            self.shifts.take(progress, now)
+            self.shifts.record_move(progress, now)
         return progress is not None
 
 
@@ -54,14 +56,14 @@
     for _ in range(count):
         clock.now += 1.0
         for side in found:
-            side.shifts.step()
+            side.shifts.adjust()
 
 
 @settings(suppress_health_check=[HealthCheck.too_slow])
 @given(st.integers(0, 1000), st.sets(st.text("abc", min_size=1), min_size=1))
 def test_parts_of_a_limit_add_up(limit, names):
     names = sorted(names)
-    assert sum(whole_share(limit, "k", name, names) for name in names) == limit
+    assert sum(even_share(limit, "k", name, names) for name in names) == limit
 
 
 def test_never_more_than_the_cap_moves_in_any_interval():
--- a/quetzalwall/process/limits/shifting.py
+++ b/quetzalwall/process/limits/traffic_shifts.py
@@ -6,10 +6,10 @@
 region does.
 """
 
-from quetzalwall.process.limits.share import whole_share
-from quetzalwall.process.window import SlidingWindow
+from quetzalwall.process.limits.share import even_share
+from quetzalwall.process.sliding_window import SlidingWindow
 
-__all__ = ["ShiftProgress", "Shifts", "create_shifts"]
+__all__ = ["ShiftProgress", "TrafficShifts", "create_traffic_shifts"]
 
 STEP_PERIOD_S = 1.0
 STEP_UP = 0.1  # part of the traffic added at each step
@@ -43,7 +43,7 @@
         self.window = SlidingWindow(shift.interval_s)
         self._next_step = now
 
-    def step(self, headroom, slowness, now):
+    def adjust(self, headroom, slowness, now):
         """Adapt the fraction to how the receiving region does.
 
         Parameters
@@ -70,7 +70,7 @@
             self.reason = "within limits"
 
 
-class Shifts:
+class TrafficShifts:
     """All shifts on this instance.
 
     Parameters
@@ -123,7 +123,7 @@
         """
         return self._progress[name]
 
-    def offered(self, service, now):
+    def choose_shift(self, service, now):
         """Return the shift that should move a request, or None.
 
         Parameters
@@ -162,21 +162,21 @@
         if shift.source != self._fleet.card.region:
             return 0
         names = self._fleet.names(shift.source)
-        return whole_share(shift.cap, shift.name, self._fleet.card.name, names)
+        return even_share(shift.cap, shift.name, self._fleet.card.name, names)
 
-    def take(self, progress, now):
+    def record_move(self, progress, now):
         """Count one request as moved.
 
         Parameters
         ----------
         progress : ShiftProgress
-            From `offered`.
+            From `choose_shift`.
         now : float
             Monotonic seconds.
         """
-        progress.window.take(1, self.part(progress.shift), now)
+        progress.window.try_add(1, self.part(progress.shift), now)
 
-    def step(self):
+    def adjust(self):
         """Let each shift adapt to how its receiving region does."""
         now = self._monotonic()
         for progress in self._progress.values():
@@ -191,7 +191,7 @@
             headroom = 1 - used / slots if slots else 0.0
             slowness = [state.slowness(now) for state in states]
             mean = sum(slowness) / len(slowness) if slowness else 1.0
-            progress.step(headroom, mean, now)
+            progress.adjust(headroom, mean, now)
 
     def status(self):
         """Return what operators see of the shifts.
@@ -213,16 +213,16 @@
         }
 
 
-def create_shifts(endpoints, fleet, rng, monotonic):
+def create_traffic_shifts(endpoints, fleet, rng, monotonic):
     """Return the shifts of one instance; there are none yet.
 
     Parameters
     ----------
     endpoints, fleet, rng, monotonic
-        As of `Shifts`.
+        As of `TrafficShifts`.
 
     Returns
     -------
-    Shifts
+    TrafficShifts
     """
-    return Shifts(endpoints, fleet, rng, monotonic)
+    return TrafficShifts(endpoints, fleet, rng, monotonic)
--- a/quetzalwall/process/limits/weighted_split.py
+++ b/quetzalwall/process/limits/weighted_split.py
@@ -42,7 +42,7 @@
         credits[chosen] -= total
         return chosen
 
-    def forget(self, routes):
+    def prune(self, routes):
         """Drop the counts of routes that are gone.
 
         Parameters
--- a/quetzalwall/process/window.py
+++ b/quetzalwall/process/sliding_window.py
@@ -16,14 +16,14 @@
     ----------
     span_s : float
         Length of the interval in seconds.
-    grain_s : float, default=0.0
+    resolution_s : float, default=0.0
         Amounts taken this close together share one entry, which bounds the memory.
         The interval grows by as much, so that the limit still holds.
     """
 
-    def __init__(self, span_s, grain_s=0.0):
+    def __init__(self, span_s, resolution_s=0.0):
         self.span_s = span_s
-        self.grain_s = grain_s
+        self.resolution_s = resolution_s
         self._taken = deque()
         self._total = 0
 
@@ -39,12 +39,12 @@
         -------
         int
         """
-        oldest = now - self.span_s - self.grain_s
+        oldest = now - self.span_s - self.resolution_s
         while self._taken and self._taken[0][0] <= oldest:
             self._total -= self._taken.popleft()[1]
         return self._total
 
-    def take(self, amount, limit, now):
+    def try_add(self, amount, limit, now):
         """Take an amount if the limit allows it.
 
         Parameters
@@ -63,7 +63,7 @@
         """
         if self.total(now) + amount > limit:
             return False
-        if self._taken and now - self._taken[-1][0] < self.grain_s:
+        if self._taken and now - self._taken[-1][0] < self.resolution_s:
             self._taken[-1][1] += amount
         else:
             self._taken.append([now, amount])
@@ -92,5 +92,5 @@
         for taken_at, taken in self._taken:
             excess -= taken
             if excess <= 0:
-                return taken_at + self.span_s + self.grain_s - now
+                return taken_at + self.span_s + self.resolution_s - now
         return float("inf")
--- a/quetzalwall/process/storage/operators.py
+++ b/quetzalwall/process/storage/settings_admin.py
@@ -10,12 +10,12 @@
 from quetzalwall.version.settings_store import history, put_subtree
 from quetzalwall.version.tree import merge_tree
 
-__all__ = ["Operators", "create_operators"]
+__all__ = ["SettingsAdmin", "create_settings_admin"]
 
 LOG = get_logger("operators")
 
 
-class Operators:
+class SettingsAdmin:
     """Commands of operators on one instance.
 
     Parameters
@@ -151,16 +151,16 @@
     return None
 
 
-def create_operators(knowledge, table, clock):
+def create_settings_admin(knowledge, table, clock):
     """Return the commands of an instance.
 
     Parameters
     ----------
     knowledge, table, clock
-        As of `Operators`.
+        As of `SettingsAdmin`.
 
     Returns
     -------
-    Operators
+    SettingsAdmin
     """
-    return Operators(knowledge, table, clock)
+    return SettingsAdmin(knowledge, table, clock)
--- a/quetzalwall/process/storage/store_table.py
+++ b/quetzalwall/process/storage/store_table.py
@@ -116,7 +116,7 @@
         rows = self._store.read_range(_table(first), first, end)
         return [TableRow(row.version, _decode(row.value)) for row in rows]
 
-    def txn(self, checks, writes, timeout_s=None):
+    def transact(self, checks, writes, timeout_s=None):
         """Write rows if other rows have the expected versions.
 
         Parameters
--- a/quetzalwall/process/storage/write_batcher.py
+++ b/quetzalwall/process/storage/write_batcher.py
@@ -166,7 +166,7 @@
         # A lost reply must leave time for another attempt.
         timeout_s = min(self._table.timeout_s, max(SHORTEST_TIMEOUT_S, left_s / 2))
         try:
-            result = self._table.txn(checks, writes, timeout_s=timeout_s)
+            result = self._table.transact(checks, writes, timeout_s=timeout_s)
         except StoreUnavailable:
             self._back_off()
             return batch
--- a/quetzalwall/process/tests/test_front.py
+++ b/quetzalwall/process/tests/test_front.py
@@ -346,7 +346,7 @@
             site.register(site.endpoints[1], state="draining")
             wait_for(lambda: not front.endpoints.get("ep-1").usable())
         if why == "no allowance":
-            front.limits.retries.has_room = lambda *args: False
+            front.limits.retry_budget.allows_retry = lambda *args: False
         front.server._chooser.is_unresponsive = lambda state, now: True
         tasks = [
             gevent.spawn(site.get, f"/look/{n}", **{DEADLINE: "5000"}) for n in range(3)
--- a/quetzalwall/process/tests/test_leaving_endpoints.py
+++ b/quetzalwall/process/tests/test_leaving_endpoints.py
@@ -41,7 +41,7 @@
 
         client.take = take_slowly
         # Nothing has been sent, so that the next attempt is no retry.
-        front.limits.retries.take = lambda *args: False
+        front.limits.retry_budget.try_acquire = lambda *args: False
         running = gevent.spawn(site.get, target, 0, method)
         assert waiting.wait(2.0)
         site.register(other, domain="north-b")
--- a/quetzalwall/process/tests/test_sessions.py
+++ b/quetzalwall/process/tests/test_sessions.py
@@ -180,7 +180,7 @@
     session.put(shift, base=1)
     session.deployment.wait_version(2)
     front = session.deployment.fronts["east-1"]
-    front.limits.shifts.step = lambda: None
+    front.limits.shifts.adjust = lambda: None
     front.limits.shifts.progress("move").fraction = 1.0
     session.say("two requests go to west, then the cap of the interval is reached")
     for number in range(4):
--- a/quetzalwall/process/tests/test_window.py
+++ b/quetzalwall/process/tests/test_window.py
@@ -1,7 +1,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quetzalwall.process.window import SlidingWindow
+from quetzalwall.process.sliding_window import SlidingWindow
 
 STEPS = st.lists(st.tuples(st.floats(0, 0.7), st.integers(1, 5)), max_size=60)
 
@@ -13,7 +13,7 @@
     taken = []
     for pause, amount in steps:
         now += pause
-        if window.take(amount, limit, now):
+        if window.try_add(amount, limit, now):
             taken.append((now, amount))
     for start, _ in taken:
         inside = sum(a for at, a in taken if start <= at < start + 1.0)
@@ -22,7 +22,7 @@
 
 @given(STEPS)
 def test_wait_is_long_enough(steps):
-    window = SlidingWindow(1.0, grain_s=0.02)
+    window = SlidingWindow(1.0, resolution_s=0.02)
     now = 0.0
     for pause, amount in steps:
         now += pause
@@ -30,7 +30,7 @@
         if wait > 0:
             assert window.total(now) + amount > 6
             now += wait + 1e-6
-        assert window.take(amount, 6, now)
+        assert window.try_add(amount, 6, now)
 
 
 def test_more_than_the_limit_never_fits():
--- a/quetzalwall/request/endpoint_chooser.py
+++ b/quetzalwall/request/endpoint_chooser.py
@@ -10,7 +10,7 @@
 
 from quetzalwall.logs import get_logger, log_event
 from quetzalwall.process.knowledge.endpoint_table import HOLDERS
-from quetzalwall.process.limits.share import whole_share
+from quetzalwall.process.limits.share import even_share
 from quetzalwall.request.choice import STOPPING, Choice, Rejection
 from quetzalwall.request.few import few_of
 from quetzalwall.request.latency_model import wait_s
@@ -58,7 +58,7 @@
         The endpoints.
     latency : LatencyModel
         What work takes.
-    cold_pacing : ColdPacing
+    cold_pacing : ColdStartLimiter
         Which cold endpoints may get a request.
     fleet : Fleet
         The other instances.
@@ -145,7 +145,7 @@
         if refusal is not None:
             return refusal
         if choice.state.cold(now):
-            self._cold_pacing.note(choice.state.name, now)
+            self._cold_pacing.record_request(choice.state.name, now)
         if choice.state.named is not None:
             choice.state.named.want(now)
             choice.state.named.take(now)
@@ -318,7 +318,7 @@
         full = set()
         for region, limit in service.region_limits:
             key = f"{service.name}/{region}"
-            part = whole_share(limit, key, self._fleet.card.name, names)
+            part = even_share(limit, key, self._fleet.card.name, names)
             if self._endpoints.own_open(service.name, region) >= part:
                 full.add(region)
         return full
--- a/quetzalwall/request/request_server.py
+++ b/quetzalwall/request/request_server.py
@@ -116,7 +116,7 @@
         check_caller(req)
         if self._grace.accept_limit_s() == 0:
             return self._refuse(req.facts, req.route.name, "admission", *STOPPING)
-        self._limits.retries.note_request(req.service, req.arrived)
+        self._limits.retry_budget.record_request(req.service, req.arrived)
         watcher = None
         if req.route.idempotent and req.sock is not None:
             watcher = gevent.spawn(watch_caller, req.sock, gevent.getcurrent())
@@ -237,12 +237,12 @@
             return False
         if not self._chooser.is_unresponsive(state, now):
             return False
-        if not self._limits.retries.has_room(req.service, now, instances):
+        if not self._limits.retry_budget.allows_retry(req.service, now, instances):
             return False
         choice = self._choose(req, tried)
         if isinstance(choice, Rejection):
             return False
-        self._limits.retries.take(req.service, now, instances)
+        self._limits.retry_budget.try_acquire(req.service, now, instances)
         spare.append(choice)
         return True
 
@@ -252,7 +252,7 @@
         asked = (req.cfg, req.route, req.service, req.object_key, left_s, now, tried)
         # The next attempt of a request at work may begin at any time.
         stop_s = self._grace.end - now if tried else self._grace.accept_limit_s()
-        shift = self._limits.shifts.offered(req.service, now)
+        shift = self._limits.shifts.choose_shift(req.service, now)
         choice = Rejection("no shift", 0.0)
         if shift is not None:
             choice = self._chooser.choose(*asked, shift.shift.to, stop_s)
@@ -262,7 +262,7 @@
         if isinstance(choice, Rejection):
             return choice
         if shift is not None:
-            self._limits.shifts.take(shift, now)
+            self._limits.shifts.record_move(shift, now)
         if choice.limited:
             self._metrics.sent_elsewhere(req.service)
         log_choice(req, choice, len(tried) + 1, now, shift.shift.name if shift else "")
@@ -278,7 +278,7 @@
         if isinstance(failure, NotSent):
             return True
         instances = self._knowledge.fleet.size()
-        return self._limits.retries.take(req.service, now, instances)
+        return self._limits.retry_budget.try_acquire(req.service, now, instances)
 
     def _attempt(self, req, choice, hopeless):
         state = choice.state
--- a/quetzalwall/request/tests/test_choices_at_scale.py
+++ b/quetzalwall/request/tests/test_choices_at_scale.py
@@ -11,7 +11,7 @@
 from quetzalwall.process.knowledge.endpoint_table import create_endpoint_table
 from quetzalwall.process.knowledge.fleet import create_fleet
 from quetzalwall.process.knowledge.peer_report import PeerCard
-from quetzalwall.process.limits.cold_pacing import create_cold_pacing
+from quetzalwall.process.limits.cold_start_limiter import create_cold_start_limiter
 from quetzalwall.request.endpoint_chooser import create_chooser
 from quetzalwall.request.latency_model import create_latency_model
 from quetzalwall.tests.platform_fixtures import HOST, ManualClock, config_body
@@ -41,7 +41,7 @@
     fleet = create_fleet(card, 1, table, clock.monotonic, 7)
     for n in range(1, instances):
         fleet.introduce(PeerCard(f"front-{n}", "north", "a", "127.0.0.1"))
-    cold = create_cold_pacing(card.name, Bounds())
+    cold = create_cold_start_limiter(card.name, Bounds())
     return create_chooser(table, create_latency_model("north"), cold, fleet, rng)
 
 
--- a/quetzalwall/version/settings_store.py
+++ b/quetzalwall/version/settings_store.py
@@ -180,4 +180,4 @@
         team_key(change["team"]): change["subtree"],
         history_key(version): kept,
     }
-    return table.txn(checks, writes).committed
+    return table.transact(checks, writes).committed
--- a/quetzalwall/version/tests/test_settings.py
+++ b/quetzalwall/version/tests/test_settings.py
@@ -5,7 +5,7 @@
 
 from quetzalwall.exceptions import SettingsConflict, SettingsError
 from quetzalwall.platform.settings import read_settings
-from quetzalwall.process.storage.tree_rows import read_tree
+from quetzalwall.process.storage.settings_tree import read_tree
 from quetzalwall.tests.fixtures import make_tree, running_store, table_of
 from quetzalwall.version.check import check_tree, load_json
 from quetzalwall.version.compile import compile_tree
