--- a/benchmarks/cases/decision_time.py
+++ b/benchmarks/cases/decision_time.py
@@ -6,9 +6,9 @@
 from benchmarks.rows import make_row
 from quetzalwall.platform.headers import answer_facts
 from quetzalwall.platform.settings import Bounds
-from quetzalwall.process.knowledge.endpoint_table import create_endpoint_table
-from quetzalwall.process.knowledge.fleet import create_fleet
-from quetzalwall.process.knowledge.peer_report import PeerCard
+from quetzalwall.process.cluster.endpoint_table import create_endpoint_table
+from quetzalwall.process.cluster.fleet import create_fleet
+from quetzalwall.process.cluster.peer_report import PeerInfo
 from quetzalwall.process.limits.cold_start_limiter import create_cold_start_limiter
 from quetzalwall.request.endpoint_chooser import create_chooser
 from quetzalwall.request.latency_model import create_latency_model
@@ -57,8 +57,8 @@
                 f"ep-{number}", "desk", "127.0.0.1", number + 1, domain, 6, False, 0, 1
             )
         )
-    card = PeerCard("one", "north", "north-a", "127.0.0.1")
-    fleet = create_fleet(card, 1, endpoints, time.monotonic, 1)
+    info = PeerInfo("one", "north", "north-a", "127.0.0.1")
+    fleet = create_fleet(info, 1, endpoints, time.monotonic, 1)
     rng = random.Random(seed)
     cold = create_cold_start_limiter("one", Bounds())
     chooser = create_chooser(endpoints, create_latency_model("north"), cold, fleet, rng)
@@ -70,5 +70,5 @@
     for _ in range(DECISIONS):
         key = rng.randrange(OBJECTS)
         choice = chooser.choose(cfg, route, "desk", key, 2.0, time.monotonic())
-        choice.state.note_held(key)
+        choice.state.record_cached(key)
     return 1e6 * (time.process_time() - began) / DECISIONS
--- a/benchmarks/limit_load.py
+++ b/benchmarks/limit_load.py
@@ -5,9 +5,12 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from quetzalwall.process.knowledge.audience import Audience
-from quetzalwall.process.knowledge.fleet import FAR_PER_S, NEAR_PER_S
-from quetzalwall.process.knowledge.named_limit import NamedLimit
+from quetzalwall.process.cluster.advertised_limit import AdvertisedLimit
+from quetzalwall.process.cluster.fleet import (
+    LOCAL_DATAGRAMS_PER_S,
+    REMOTE_DATAGRAMS_PER_S,
+)
+from quetzalwall.process.cluster.report_group import ReportGroup
 
 __all__ = ["LimitPattern", "judge", "play"]
 
@@ -168,12 +171,14 @@
                     for peer in self.instances
                     if peer is not sender and (peer.region != sender.region) == far
                 ]
-                audience = Audience(not far, FAR_PER_S if far else NEAR_PER_S)
-                audience.peers = len(peers)
-                if now - sender.told[far] < audience.period_s() - STEP_S / 2:
+                group = ReportGroup(
+                    not far, REMOTE_DATAGRAMS_PER_S if far else LOCAL_DATAGRAMS_PER_S
+                )
+                group.peers = len(peers)
+                if now - sender.told[far] < group.period_s() - STEP_S / 2:
                     continue
                 sender.told[far] = now
-                told = {n: limit.told(now) for n, limit in sender.limits.items()}
+                told = {n: limit.own_report(now) for n, limit in sender.limits.items()}
                 if not told or now < sender.cut_until:
                     continue
                 for peer in peers:
@@ -187,8 +192,8 @@
             if number not in peer.limits:
                 if figures[0] < 0 or figures[1] < 0:
                     continue
-                peer.limits[number] = NamedLimit(now)
-            peer.limits[number].hear(sender.name, figures, now)
+                peer.limits[number] = AdvertisedLimit(now)
+            peer.limits[number].receive_report(sender.name, figures, now)
 
     def _request(self, now):
         instance = self.rng.choice(self._running(now))
@@ -198,10 +203,10 @@
         for number in order:
             limit = instance.limits.get(number)
             if self.pattern.keeps and limit is not None:
-                limit.want(now)
+                limit.record_demand(now)
                 if not limit.allows(f"ep-{number}", instance.name, self.names, now):
                     continue
-                limit.take(now)
+                limit.record_sent(now)
             way_s = WAY_S[number % REGIONS != instance.region]
             way_s += self.rng.random() * STEP_S
             self._later(way_s, self._arrive, instance, number, way_s)
@@ -225,8 +230,8 @@
         if number not in instance.limits:
             if per_s is None:
                 return
-            instance.limits[number] = NamedLimit(now)
-        instance.limits[number].note_answer(per_s, now)
+            instance.limits[number] = AdvertisedLimit(now)
+        instance.limits[number].record_response(per_s, now)
 
 
 def judge(arrivals, named):
--- a/benchmarks/platform_load.py
+++ b/benchmarks/platform_load.py
@@ -15,10 +15,10 @@
 from quetzalwall.platform.headers import answer_facts
 from quetzalwall.platform.settings import Bounds
 from quetzalwall.platform.store import RowChange, Rows
-from quetzalwall.process.knowledge.endpoint_table import create_endpoint_table
-from quetzalwall.process.knowledge.fleet import create_fleet
-from quetzalwall.process.knowledge.knowledge import create_knowledge
-from quetzalwall.process.knowledge.peer_report import PeerCard
+from quetzalwall.process.cluster.cluster_state import create_cluster_state
+from quetzalwall.process.cluster.endpoint_table import create_endpoint_table
+from quetzalwall.process.cluster.fleet import create_fleet
+from quetzalwall.process.cluster.peer_report import PeerInfo
 from quetzalwall.process.limits.cold_start_limiter import create_cold_start_limiter
 from quetzalwall.request.endpoint_chooser import Rejection, create_chooser
 from quetzalwall.request.latency_model import create_latency_model
@@ -86,17 +86,17 @@
         self.region = region
         domains = {f"domain-{n}": f"region-{n}" for n in range(3)}
         endpoints = create_endpoint_table(domains, answer_facts, player.monotonic)
-        card = PeerCard(f"front-{number}", region, f"domain-{number % 3}", f"h{number}")
-        self.fleet = create_fleet(card, 1, endpoints, player.monotonic, number + 1)
-        knowledge = create_knowledge(endpoints, self.fleet)
-        knowledge.apply("servers", player.rows, True, False)
+        info = PeerInfo(f"front-{number}", region, f"domain-{number % 3}", f"h{number}")
+        self.fleet = create_fleet(info, 1, endpoints, player.monotonic, number + 1)
+        cluster_state = create_cluster_state(endpoints, self.fleet)
+        cluster_state.apply("servers", player.rows, True, False)
         self.endpoints = endpoints
-        self.knowledge = knowledge
+        self.cluster_state = cluster_state
         self.latency = create_latency_model(region)
         self.chooser = create_chooser(
             endpoints,
             self.latency,
-            create_cold_start_limiter(card.name, Bounds()),
+            create_cold_start_limiter(info.name, Bounds()),
             self.fleet,
             random.Random(number),
         )
@@ -169,7 +169,7 @@
             self.endpoints[name].lose()
         removed = Rows([RowChange(name, None, 2) for name in names], 2)
         for instance in self.instances:
-            instance.knowledge.apply("servers", removed, False, False)
+            instance.cluster_state.apply("servers", removed, False, False)
 
     def trouble(self, end):
         if self.pattern.region_lost_at_s is not None:
@@ -191,14 +191,14 @@
             self.at(self.now + NOISE_S, self.change_noise, end)
 
     def gossip(self):
-        hosts = {instance.fleet.card.host: instance for instance in self.instances}
+        hosts = {instance.fleet.own_info.host: instance for instance in self.instances}
         for instance in self.instances:
             if self.now == 100.0:
                 for other in self.instances:
-                    instance.fleet.introduce(other.fleet.card)
+                    instance.fleet.add_registered(other.fleet.own_info)
             for report, cards in instance.fleet.due_reports(self.now):
-                for card in cards:
-                    hosts[card.host].fleet.receive(report, self.now)
+                for info in cards:
+                    hosts[info.host].fleet.receive(report, self.now)
         self.at(self.now + GOSSIP_S, self.gossip)
 
     def arrive(self, end):
@@ -257,11 +257,11 @@
         if req.choice is None:
             return
         state = req.choice.state
-        state.own_open -= 1
-        state.note_slowness(endpoint.present_slowness(), self.now, own=True)
-        state.note_success()
-        state.note_held(req.object)
-        req.instance.fleet.note_held(state.name, req.object)
+        state.own_in_flight -= 1
+        state.record_slowness(endpoint.present_slowness(), self.now, own=True)
+        state.record_success()
+        state.record_cached(req.object)
+        req.instance.fleet.announce_cached(state.name, req.object)
         if req.choice.queueing_delay_s == 0:
             seconds = req.work / req.choice.slowness
             latency = req.instance.latency
@@ -275,8 +275,8 @@
             return
         self.counts["timed_out"] += 1
         if req.choice is not None:
-            req.choice.state.own_open -= 1
-            req.choice.state.note_failure(self.now)
+            req.choice.state.own_in_flight -= 1
+            req.choice.state.record_failure(self.now)
         for endpoint in self.endpoints.values():
             if req in endpoint.queue:
                 endpoint.queue.remove(req)
@@ -296,7 +296,7 @@
     if isinstance(choice, Rejection):
         req.retry_after_s = choice.retry_after_s
         return None
-    choice.state.own_open += 1
+    choice.state.own_in_flight += 1
     req.choice = choice
     return choice.state.name
 
--- a/quetzalwall/process/knowledge/named_limit.py
+++ b/quetzalwall/process/cluster/advertised_limit.py
@@ -6,7 +6,7 @@
 from quetzalwall.process.limits.share import rate_share, rendezvous_order
 from quetzalwall.process.sliding_window import SlidingWindow
 
-__all__ = ["ENDED", "NamedLimit"]
+__all__ = ["ENDED", "AdvertisedLimit"]
 
 SPAN_S = 4.0  # in which what the rate allows is counted
 WAY_S = 0.3  # longer than the span: requests take different times to arrive
@@ -26,7 +26,7 @@
 SECOND_HAND = -1  # in place of an age
 
 
-class NamedLimit:
+class AdvertisedLimit:
     """A limit that an endpoint named in its answers, shared by all instances.
 
     Parameters
@@ -62,7 +62,7 @@
         self._room = 0
         self._share_until = -math.inf
 
-    def note_answer(self, per_s, now):
+    def record_response(self, per_s, now):
         """Take over what an answer to this instance named.
 
         Parameters
@@ -75,7 +75,7 @@
         self._own_at = now
         self._set(per_s, now)
 
-    def hear(self, instance, figures, now):
+    def receive_report(self, instance, figures, now):
         """Take over what another instance tells.
 
         Parameters
@@ -83,7 +83,7 @@
         instance : str
             Its name.
         figures : sequence of int
-            As `told` gives them, without the code.
+            As `own_report` gives them, without the code.
         now : float
             Monotonic seconds.
         """
@@ -93,7 +93,7 @@
         if age_ms != SECOND_HAND and at > self._at:
             self._set(None if thousandths == ENDED else thousandths / 1000, at)
 
-    def told(self, now):
+    def own_report(self, now):
         """Return what to tell the other instances.
 
         Parameters
@@ -127,7 +127,7 @@
         """
         return self.per_s is None and now - self._at > ENDED_S
 
-    def want(self, now):
+    def record_demand(self, now):
         """Count a request that goes to the endpoint if the limit allows it.
 
         Parameters
@@ -137,7 +137,7 @@
         """
         self._wanted.try_add(1, math.inf, now)
 
-    def take(self, now):
+    def record_sent(self, now):
         """Count a request that is sent.
 
         Parameters
@@ -191,14 +191,14 @@
         if names is not self._names:
             self._names, self._order = names, rendezvous_order(endpoint, names)
         allowed = self._lowest_per_s(now) * SPAN_S
-        told = {n: f for n, f in self._peers.items() if now - f[2] < TOLD_S}
+        own_report = {n: f for n, f in self._peers.items() if now - f[2] < TOLD_S}
         wanted = None
         if now - self._since > SETTLE_S:
-            wanted = {name: figures[0] for name, figures in told.items()}
+            wanted = {name: figures[0] for name, figures in own_report.items()}
             wanted[own] = self._wanted.total(now)
         whole = max(1, int(allowed * USED_PART))
         self.last_share = rate_share(whole, own, self._order, wanted)
-        sent = sum(figures[1] for name, figures in told.items())
+        sent = sum(figures[1] for name, figures in own_report.items())
         self._room = allowed * MOST_PART + MOST_MORE - sent
         self._share_until = now + SHARE_S
         return self.last_share
--- a/quetzalwall/process/knowledge/named_limit_log.py
+++ b/quetzalwall/process/cluster/advertised_limit_log.py
@@ -2,13 +2,13 @@
 
 from quetzalwall.logs import get_logger, log_event
 
-__all__ = ["log_change"]
+__all__ = ["log_limit_change"]
 
 LINE_S = 1.0  # between two lines about changes of one endpoint's limit
 LOG = get_logger("endpoints")
 
 
-def log_change(state, before, source, now):
+def log_limit_change(state, before, source, now):
     """Write that an endpoint's limit is new, another one, or ended.
 
     Parameters
@@ -22,7 +22,7 @@
     now : float
         Monotonic seconds.
     """
-    named = state.named
+    named = state.advertised_limit
     if named.per_s == before:
         return
     if before is None:
--- a/quetzalwall/process/knowledge/knowledge.py
+++ b/quetzalwall/process/cluster/cluster_state.py
@@ -23,8 +23,8 @@
 __all__ = [
     "PLATFORM_TABLES",
     "TREE_TABLES",
-    "Knowledge",
-    "create_knowledge",
+    "ClusterState",
+    "create_cluster_state",
     "read_exported",
 ]
 
@@ -36,7 +36,7 @@
 LOG = get_logger("config")
 
 
-class Knowledge:
+class ClusterState:
     """Configuration in force, endpoints, fleet, and the rows that they come from.
 
     Parameters
@@ -314,16 +314,16 @@
         raise PeerError(f"bad rows: {exc!r}", step="read rows", peer=peer) from exc
 
 
-def create_knowledge(endpoints, fleet, tables=PLATFORM_TABLES):
+def create_cluster_state(endpoints, fleet, tables=PLATFORM_TABLES):
     """Return knowledge that holds nothing yet.
 
     Parameters
     ----------
     endpoints, fleet, tables
-        As of `Knowledge`.
+        As of `ClusterState`.
 
     Returns
     -------
-    Knowledge
+    ClusterState
     """
-    return Knowledge(endpoints, fleet, tables)
+    return ClusterState(endpoints, fleet, tables)
--- a/quetzalwall/process/knowledge/endpoint_state.py
+++ b/quetzalwall/process/cluster/endpoint_state.py
@@ -33,15 +33,15 @@
 
     Attributes
     ----------
-    own_open : int
+    own_in_flight : int
         Requests of this instance that are under way there.
-    peer_open : int
+    peer_in_flight : int
         Requests of the other instances, by their last reports.
     objects : OrderedDict
         Codes of the objects that it has served, the last one last.
     present : bool
         Whether the registry holds it, or held it until the store went away.
-    named : NamedLimit or None
+    named : AdvertisedLimit or None
         The limit that it names, or named until a while ago.
     odd_limit : str
         What its last answer named in place of a limit.
@@ -51,16 +51,16 @@
         self.entry = entry
         self.region = region
         self.client = client
-        self.own_open = 0
-        self.peer_open = 0
+        self.own_in_flight = 0
+        self.peer_in_flight = 0
         self.present = True
         self.lapsed_until = None
         self.wrong_address = False
         self.cold_until = -math.inf
         self.note_cold(entry.cold_s, now)
-        self.objects = OrderedDict()
-        self.named = None
-        self.odd_limit = ""
+        self.recent_objects = OrderedDict()
+        self.advertised_limit = None
+        self.malformed_limit = ""
         self._slowness = 1.0
         self._slowness_at = -math.inf
         self._slowness_own = False
@@ -99,7 +99,7 @@
         """
         return now < self._avoid_until
 
-    def silent_s(self, now):
+    def unresponsive_s(self, now):
         """Return for how long nobody has got an answer while requests are open there.
 
         Parameters
@@ -112,14 +112,14 @@
         float
             Seconds; 0 if too few requests are open to tell.
         """
-        if self.own_open + self.peer_open < SILENT_OPEN:
+        if self.own_in_flight + self.peer_in_flight < SILENT_OPEN:
             self._waiting_since = None
             return 0.0
         if self._waiting_since is None:
             self._waiting_since = now
         return now - max(self._waiting_since, self._heard, self._avoid_until)
 
-    def avoided_as_silent(self, now):
+    def avoided_as_unresponsive(self, now):
         """Return whether it is avoided since it answers nobody.
 
         Parameters
@@ -133,7 +133,7 @@
         """
         return self.avoided(now) and self._avoided_silent_at < math.inf
 
-    def note_silent(self, now):
+    def record_unresponsive(self, now):
         """Record that the endpoint has been silent for too long, and avoid it.
 
         Parameters
@@ -185,14 +185,14 @@
         """
         return now < self.cold_until
 
-    def open(self):
+    def in_flight(self):
         """Return the requests under way there, from all instances.
 
         Returns
         -------
         int
         """
-        return self.own_open + self.peer_open
+        return self.own_in_flight + self.peer_in_flight
 
     def slowness(self, now):
         """Return how long work takes there now, 1.0 being usual.
@@ -211,7 +211,7 @@
             return 1.0
         return 1.0 + (self._slowness - 1.0) * math.exp(-age_s / SLOWNESS_MEMORY_S)
 
-    def note_slowness(self, slowness, at, own=False):
+    def record_slowness(self, slowness, at, own=False):
         """Record how long work takes, as the endpoint said.
 
         Parameters
@@ -245,7 +245,7 @@
             return None
         return self._slowness, self._slowness_at
 
-    def depth(self, object_key):
+    def reuse_distance(self, object_key):
         """Return how many objects it has served since it last served one.
 
         Parameters
@@ -258,21 +258,21 @@
         int or None
             None if it has not served it, as far as is remembered.
         """
-        if object_key not in self.objects:
+        if object_key not in self.recent_objects:
             return None
-        later = reversed(self.objects)
+        later = reversed(self.recent_objects)
         return next(count for count, key in enumerate(later) if key == object_key)
 
-    def untried(self):
+    def served_no_objects(self):
         """Return whether it has served no object yet, as far as is known.
 
         Returns
         -------
         bool
         """
-        return not self.objects
+        return not self.recent_objects
 
-    def note_held(self, object_key):
+    def record_cached(self, object_key):
         """Record that it has served an object.
 
         Parameters
@@ -280,17 +280,17 @@
         object_key : int
             Code of the object.
         """
-        self.objects[object_key] = True
-        self.objects.move_to_end(object_key)
-        if len(self.objects) > MOST_OBJECTS:
-            self.objects.popitem(last=False)
+        self.recent_objects[object_key] = True
+        self.recent_objects.move_to_end(object_key)
+        if len(self.recent_objects) > MOST_OBJECTS:
+            self.recent_objects.popitem(last=False)
 
-    def note_success(self):
+    def record_success(self):
         """Record a sound answer."""
         self._failures = 0
         self._avoid_s = AVOID_FIRST_S
 
-    def note_failure(self, now, certain=False):
+    def record_failure(self, now, certain=False):
         """Record an answer that did not come or was spoiled.
 
         Parameters
@@ -315,7 +315,7 @@
         self._avoid_until = now + self._avoid_s
         self._avoid_s = min(AVOID_MOST_S, 2 * self._avoid_s)
 
-    def note_shed(self, now):
+    def record_shed(self, now):
         """Record that the endpoint refused a request since it is full.
 
         Parameters
--- a/quetzalwall/process/knowledge/endpoint_figures.py
+++ b/quetzalwall/process/cluster/endpoint_stats.py
@@ -1,7 +1,7 @@
 """What instances tell one another of endpoints: open requests, slowness, limits."""
 
-from quetzalwall.process.knowledge.named_limit import ENDED, NamedLimit
-from quetzalwall.process.knowledge.named_limit_log import log_change
+from quetzalwall.process.cluster.advertised_limit import ENDED, AdvertisedLimit
+from quetzalwall.process.cluster.advertised_limit_log import log_limit_change
 
 __all__ = ["EndpointFigures"]
 
@@ -38,15 +38,15 @@
         for code, hundredths, age_ms in report.slow:
             state = by_code(code)
             if state is not None:
-                state.note_slowness(hundredths / 100, now - age_ms / 1000)
+                state.record_slowness(hundredths / 100, now - age_ms / 1000)
         for code, object_key in report.held:
             state = by_code(code)
             if state is not None:
-                state.note_held(object_key)
+                state.record_cached(object_key)
         for code, *figures in report.limited:
             state = by_code(code)
             if state is not None:
-                _hear_limit(state, peer.card.name, figures, now)
+                _hear_limit(state, peer.info.name, figures, now)
 
     def set_open(self, peer, counts):
         """Count a peer's open requests anew.
@@ -61,12 +61,12 @@
         for code, count in peer.open.items():
             state = self._endpoints.by_code(code)
             if state is not None:
-                state.peer_open = max(0, state.peer_open - count)
+                state.peer_in_flight = max(0, state.peer_in_flight - count)
         peer.open = {}
         for code, count in counts.items():
             state = self._endpoints.by_code(code)
             if state is not None:
-                state.peer_open += count
+                state.peer_in_flight += count
                 peer.open[code] = count
 
     def own(self, told, now):
@@ -86,16 +86,16 @@
         """
         opened, slow, limited = [], [], []
         for code, state in self._endpoints.codes():
-            if state.own_open:
-                opened.append((code, state.own_open))
+            if state.own_in_flight:
+                opened.append((code, state.own_in_flight))
             seen = state.own_slowness_since(told)
             if seen is not None:
                 slow.append((code, int(seen[0] * 100), int((now - seen[1]) * 1000)))
-            if state.named is not None:
-                if state.named.forgettable(now):
-                    state.named = None
+            if state.advertised_limit is not None:
+                if state.advertised_limit.forgettable(now):
+                    state.advertised_limit = None
                 else:
-                    limited.append((code, *state.named.told(now)))
+                    limited.append((code, *state.advertised_limit.own_report(now)))
         return opened, slow, self._some(limited)
 
     def _some(self, limited):
@@ -107,11 +107,11 @@
 
 
 def _hear_limit(state, instance, figures, now):
-    if state.named is None:
+    if state.advertised_limit is None:
         thousandths, age_ms = figures[:2]
         if thousandths == ENDED or age_ms < 0:
             return
-        state.named = NamedLimit(now)
-    before = state.named.per_s
-    state.named.hear(instance, figures, now)
-    log_change(state, before, instance, now)
+        state.advertised_limit = AdvertisedLimit(now)
+    before = state.advertised_limit.per_s
+    state.advertised_limit.receive_report(instance, figures, now)
+    log_limit_change(state, before, instance, now)
--- a/quetzalwall/process/knowledge/endpoint_table.py
+++ b/quetzalwall/process/cluster/endpoint_table.py
@@ -7,12 +7,12 @@
 
 from quetzalwall.connection.endpoint_connections import EndpointConnections
 from quetzalwall.logs import get_logger, log_event
-from quetzalwall.process.knowledge.endpoint_code import endpoint_code
-from quetzalwall.process.knowledge.endpoint_state import create_endpoint_state
+from quetzalwall.process.cluster.endpoint_code import endpoint_code
+from quetzalwall.process.cluster.endpoint_state import create_endpoint_state
 
-__all__ = ["HOLDERS", "EndpointTable", "create_endpoint_table"]
+__all__ = ["ENDPOINTS_PER_OBJECT", "EndpointTable", "create_endpoint_table"]
 
-HOLDERS = 3  # endpoints at which an object that none holds should settle
+ENDPOINTS_PER_OBJECT = 3  # endpoints at which an object that none holds should settle
 MOST_ORDERS = 4096  # kept; callers name objects as they like
 RETURN_GRACE_S = 2.0  # lapsed entries are back by then, says the platform
 LOG = get_logger("endpoints")
@@ -53,7 +53,7 @@
         self._orders = OrderedDict()
         self._codes = {}
         self._lapsed = set()
-        self.forgotten = 0
+        self.removal_count = 0
 
     def __len__(self):
         return len(self._states)
@@ -98,7 +98,7 @@
         """
         return self._codes.items()
 
-    def of_service(self, service):
+    def routable_endpoints(self, service):
         """Return the endpoints of a service that may get new requests.
 
         Parameters
@@ -113,11 +113,11 @@
         found = self._usable.get(service)
         if found is None:
             states = self._services.get(service, {}).values()
-            found = self._usable[service] = [s for s in states if self.takes(s)]
+            found = self._usable[service] = [s for s in states if self.is_routable(s)]
         # An answer may tell that an address is wrong, which changes nothing here.
         return [state for state in found if not state.wrong_address]
 
-    def takes(self, state):
+    def is_routable(self, state):
         """Return whether an endpoint may get new requests.
 
         Parameters
@@ -131,7 +131,7 @@
         """
         return state.usable() and state.entry.domain not in self.evacuated
 
-    def own_open(self, service, region):
+    def own_in_flight(self, service, region):
         """Return the requests of this instance that are open in a region.
 
         Parameters
@@ -144,12 +144,12 @@
         int
         """
         return sum(
-            state.own_open
+            state.own_in_flight
             for state in self._services.get(service, {}).values()
             if state.region == region
         )
 
-    def order(self, service, object_key):
+    def preferred_ranks(self, service, object_key):
         """Return the ranks of the endpoints that should hold an object.
 
         Parameters
@@ -162,15 +162,17 @@
         Returns
         -------
         dict of str to int
-            0 for the first of `HOLDERS` endpoints, and so on.
+            0 for the first of `ENDPOINTS_PER_OBJECT` endpoints, and so on.
         """
         key = (service, object_key)
         ranks = self._orders.get(key)
         if ranks is not None:
             self._orders.move_to_end(key)
             return ranks
-        names = [state.name for state in self.of_service(service)]
-        first = nsmallest(HOLDERS, names, key=lambda name: _weight(object_key, name))
+        names = [state.name for state in self.routable_endpoints(service)]
+        first = nsmallest(
+            ENDPOINTS_PER_OBJECT, names, key=lambda name: _weight(object_key, name)
+        )
         ranks = self._orders[key] = {name: rank for rank, name in enumerate(first)}
         if len(self._orders) > MOST_ORDERS:
             self._orders.popitem(last=False)
@@ -332,7 +334,7 @@
     def _drop(self, state):
         state.present = False
         state.client.close()
-        self.forgotten += 1
+        self.removal_count += 1
         self._states.pop(state.name, None)
         self._codes.pop(endpoint_code(state.name), None)
         self._take_out(state)
--- a/quetzalwall/process/knowledge/fleet.py
+++ b/quetzalwall/process/cluster/fleet.py
@@ -8,24 +8,26 @@
 from bisect import insort
 
 from quetzalwall.logs import get_logger, log_event
-from quetzalwall.process.knowledge.audience import (
+from quetzalwall.process.cluster.endpoint_code import endpoint_code
+from quetzalwall.process.cluster.endpoint_stats import EndpointFigures
+from quetzalwall.process.cluster.members import Members, counts
+from quetzalwall.process.cluster.peer_report import Peer, PeerReport, is_newer
+from quetzalwall.process.cluster.peer_socket import PeerSocket
+from quetzalwall.process.cluster.report_group import (
     NAMED_S,
     PERIOD_S,
-    SILENT_AFTER_S,
-    Audience,
+    UNRESPONSIVE_AFTER_S,
+    ReportGroup,
 )
-from quetzalwall.process.knowledge.endpoint_code import endpoint_code
-from quetzalwall.process.knowledge.endpoint_figures import EndpointFigures
-from quetzalwall.process.knowledge.members import Members, counts
-from quetzalwall.process.knowledge.peer_report import Peer, PeerReport, is_newer
-from quetzalwall.process.knowledge.peer_socket import PeerSocket
-from quetzalwall.process.knowledge.table_news import TableNews
+from quetzalwall.process.cluster.table_updates import TableNews
 from quetzalwall.process.tasks import repeat
 
-__all__ = ["SILENT_AFTER_S", "Fleet", "create_fleet"]
+__all__ = ["UNRESPONSIVE_AFTER_S", "Fleet", "create_fleet"]
 
-NEAR_PER_S = 60.0  # datagrams of one instance to its region; more peers hear less often
-FAR_PER_S = 40.0  # and to the other regions
+LOCAL_DATAGRAMS_PER_S = (
+    60.0  # datagrams of one instance to its region; more peers hear less often
+)
+REMOTE_DATAGRAMS_PER_S = 40.0  # and to the other regions
 READ_PART = 0.1  # of the time between two datagrams of a peer, for which one may wait
 LEAST_READ_S = 0.03  # below which waiting saves no wake-ups
 OWN_PAUSE_S = 1.0  # between two looks, after which silence says nothing
@@ -38,7 +40,7 @@
 
     Parameters
     ----------
-    card : PeerCard
+    info : PeerInfo
         This instance.
     port : int
         UDP port, the same on every instance.
@@ -50,8 +52,8 @@
         Random number of this process; a restarted one has another.
     """
 
-    def __init__(self, card, port, endpoints, monotonic, process):
-        self.card = card
+    def __init__(self, info, port, endpoints, monotonic, process):
+        self.own_info = info
         self.leaving = False
         self.reaches_store = True
         self.tables = {}
@@ -65,16 +67,19 @@
         self._looked = None
         self._first_silence = -math.inf
         self._before = []
-        self._audiences = (Audience(True, NEAR_PER_S), Audience(False, FAR_PER_S))
+        self._audiences = (
+            ReportGroup(True, LOCAL_DATAGRAMS_PER_S),
+            ReportGroup(False, REMOTE_DATAGRAMS_PER_S),
+        )
         self._peers = {}
-        self._members = Members(card)
+        self._members = Members(info)
         self._task = None
         self._socket = None
 
     def start(self):
         """Begin to send and to listen."""
         self._socket = PeerSocket(
-            self.card.host, self._port, self._take, self._read_pause_s
+            self.own_info.host, self._port, self._take, self._read_pause_s
         )
         self._task = repeat(self._report, PERIOD_S)
 
@@ -84,7 +89,7 @@
             self._task.kill()
             self._socket.close()
 
-    def note_held(self, endpoint, object_key):
+    def announce_cached(self, endpoint, object_key):
         """Have the others told that an endpoint has served an object.
 
         Parameters
@@ -94,21 +99,21 @@
         object_key : int
             Code of the object.
         """
-        for audience in self._audiences:
-            audience.held.append((endpoint_code(endpoint), object_key))
+        for group in self._audiences:
+            group.held.append((endpoint_code(endpoint), object_key))
 
-    def introduce(self, card):
+    def add_registered(self, info):
         """Take over an instance that the store names; it may run or not.
 
         Until it is known to be silent, it counts as one that shares all limits.
 
         Parameters
         ----------
-        card : PeerCard
+        info : PeerInfo
             Who it is.
         """
-        if card.name != self.card.name and card.name not in self._peers:
-            self._add(card).introduced = self._monotonic()
+        if info.name != self.own_info.name and info.name not in self._peers:
+            self._add(info).introduced = self._monotonic()
             self._members.clear()
 
     def others(self):
@@ -125,12 +130,14 @@
 
         Returns
         -------
-        list of PeerCard
+        list of PeerInfo
         """
         then = (self._looked or 0.0) - NAMED_S
         found = self._peers.values()
-        cards = [p.card for p in found if not (p.silent or p.leaving or p.heard < then)]
-        return cards if self.leaving else [self.card, *cards]
+        members = [
+            p.info for p in found if not (p.silent or p.leaving or p.heard < then)
+        ]
+        return members if self.leaving else [self.own_info, *members]
 
     def size(self):
         """Return the number of instances that may send requests to endpoints.
@@ -157,14 +164,14 @@
         """
         return self._members.names(self._peers, region, self._monotonic())
 
-    def cards(self):
+    def members(self):
         """Return the instances that may run, this one included.
 
         Returns
         -------
-        list of PeerCard
+        list of PeerInfo
         """
-        return self._members.cards(self._peers, self._monotonic())
+        return self._members.members(self._peers, self._monotonic())
 
     def receive(self, report, now):
         """Take over what another instance reports.
@@ -176,25 +183,25 @@
         now : float
             Monotonic seconds.
         """
-        name = report.card.name
-        if name == self.card.name:
+        name = report.info.name
+        if name == self.own_info.name:
             return
         peer = self._peers.get(name)
         if peer is None:
-            peer = self._add(report.card)
+            peer = self._add(report.info)
         if not is_newer(report, peer):
             return
-        if peer.card != report.card or not counts(peer, now):
+        if peer.info != report.info or not counts(peer, now):
             self._members.clear()
-        if peer.card.region != report.card.region:
-            self._count(peer.card, -1)
-            self._count(report.card, 1)
-        peer.card = report.card
+        if peer.info.region != report.info.region:
+            self._count(peer.info, -1)
+            self._count(report.info, 1)
+        peer.info = report.info
         if report.process != peer.process:
             peer.former_process, peer.process = peer.process, report.process
         peer.sequence = report.sequence
         if peer.silent:
-            log_event(LOG, "heard", peer=name, domain=peer.card.domain)
+            log_event(LOG, "heard", peer=name, domain=peer.info.domain)
         if report.leaving and not peer.leaving:
             log_event(LOG, "leaving", peer=name)
         peer.leaving = report.leaving
@@ -216,29 +223,27 @@
 
         Returns
         -------
-        list of (PeerReport, list of PeerCard)
+        list of (PeerReport, list of PeerInfo)
             Each report with those that get it.
         """
         due = []
-        for audience in self._audiences:
-            if now - audience.told > audience.period_s() - PERIOD_S / 2:
-                due.append(
-                    (self._own_report(audience, now), self._called(audience, now))
-                )
-                audience.told = now
-                audience.held.clear()
+        for group in self._audiences:
+            if now - group.told > group.period_s() - PERIOD_S / 2:
+                due.append((self._own_report(group, now), self._called(group, now)))
+                group.told = now
+                group.held.clear()
         return due
 
-    def _called(self, audience, now):
-        cards = []
+    def _called(self, group, now):
+        members = []
         for peer in self._peers.values():
-            if (peer.card.region == self.card.region) != audience.near:
+            if (peer.info.region == self.own_info.region) != group.near:
                 continue
             if peer.silent and now - peer.called < CALL_EVERY_S:
                 continue
             peer.called = now
-            cards.append(peer.card)
-        return cards
+            members.append(peer.info)
+        return members
 
     def peers(self):
         """Return what is known of each other instance.
@@ -256,7 +261,7 @@
         ------
         Peer
         """
-        own = endpoint_code(self.card.name)
+        own = endpoint_code(self.own_info.name)
         for code, name in self._before:
             if code >= own:
                 return
@@ -281,12 +286,12 @@
             return
         if now < self._first_silence:
             return
-        limits_s = {audience.near: audience.silent_s() for audience in self._audiences}
+        limits_s = {group.near: group.silent_s() for group in self._audiences}
         self._first_silence = math.inf
         for peer in self._peers.values():
             if peer.silent:
                 continue
-            limit_s = limits_s[peer.card.region == self.card.region]
+            limit_s = limits_s[peer.info.region == self.own_info.region]
             if now - peer.heard <= limit_s:
                 self._first_silence = min(self._first_silence, peer.heard + limit_s)
             else:
@@ -296,22 +301,22 @@
                     LOG,
                     "silent",
                     "warning",
-                    peer=peer.card.name,
-                    domain=peer.card.domain,
+                    peer=peer.info.name,
+                    domain=peer.info.domain,
                     silent_s=now - peer.heard,
                 )
 
-    def _add(self, card):
-        peer = self._peers[card.name] = Peer(card)
-        self._count(card, 1)
-        insort(self._before, (endpoint_code(card.name), card.name))
+    def _add(self, info):
+        peer = self._peers[info.name] = Peer(info)
+        self._count(info, 1)
+        insort(self._before, (endpoint_code(info.name), info.name))
         return peer
 
-    def _count(self, card, change):
-        near = card.region == self.card.region
-        for audience in self._audiences:
-            if audience.near == near:
-                audience.peers += change
+    def _count(self, info, change):
+        near = info.region == self.own_info.region
+        for group in self._audiences:
+            if group.near == near:
+                group.peers += change
         self._first_silence = -math.inf
 
     def report_s(self):
@@ -334,14 +339,14 @@
     def _report(self):
         now = self._monotonic()
         self.expire(now)
-        for report, cards in self.due_reports(now):
-            self._socket.send(report, cards)
+        for report, members in self.due_reports(now):
+            self._socket.send(report, members)
 
-    def _own_report(self, audience, now):
+    def _own_report(self, group, now):
         self._sequence += 1
-        opened, slow, limited = self._figures.own(audience.told, now)
+        opened, slow, limited = self._figures.own(group.told, now)
         return PeerReport(
-            self.card,
+            self.own_info,
             self._process,
             self._sequence,
             self.leaving,
@@ -349,22 +354,22 @@
             self.tables,
             opened,
             slow,
-            list(audience.held),
+            list(group.held),
             self.news.ages_ms(now),
             limited,
         )
 
 
-def create_fleet(card, port, endpoints, monotonic, process):
+def create_fleet(info, port, endpoints, monotonic, process):
     """Return a view of the other instances, not yet started.
 
     Parameters
     ----------
-    card, port, endpoints, monotonic, process
+    info, port, endpoints, monotonic, process
         As of `Fleet`.
 
     Returns
     -------
     Fleet
     """
-    return Fleet(card, port, endpoints, monotonic, process)
+    return Fleet(info, port, endpoints, monotonic, process)
--- a/quetzalwall/process/knowledge/members.py
+++ b/quetzalwall/process/cluster/members.py
@@ -29,7 +29,7 @@
 
     Parameters
     ----------
-    own : PeerCard
+    own : PeerInfo
         This instance.
     """
 
@@ -43,7 +43,7 @@
         """Have them listed anew: one has come, come back or changed."""
         self._until = -math.inf
 
-    def cards(self, peers, now):
+    def members(self, peers, now):
         """Return their cards.
 
         Parameters
@@ -55,16 +55,16 @@
 
         Returns
         -------
-        list of PeerCard
+        list of PeerInfo
             The same list, which must not be changed, until one comes or goes.
         """
         if now >= self._until:
             found = [peer for peer in peers.values() if counts(peer, now)]
             heard = [max(peer.heard, peer.introduced) for peer in found]
             self._until = min(heard, default=math.inf) + FORGET_AFTER_S
-            cards = [self._own, *(peer.card for peer in found)]
-            if cards != self._cards:
-                self._cards, self._names = cards, {}
+            members = [self._own, *(peer.info for peer in found)]
+            if members != self._cards:
+                self._cards, self._names = members, {}
         return self._cards
 
     def names(self, peers, region, now):
@@ -84,10 +84,10 @@
         list of str
             The same list, which must not be changed, until one comes or goes.
         """
-        cards = self.cards(peers, now)
+        members = self.members(peers, now)
         names = self._names.get(region)
         if names is None:
             names = self._names[region] = [
-                card.name for card in cards if region is None or card.region == region
+                info.name for info in members if region is None or info.region == region
             ]
         return names
--- a/quetzalwall/process/knowledge/peer_report.py
+++ b/quetzalwall/process/cluster/peer_report.py
@@ -7,7 +7,7 @@
 
 __all__ = [
     "Peer",
-    "PeerCard",
+    "PeerInfo",
     "PeerReport",
     "decode_report",
     "encode_report",
@@ -19,7 +19,7 @@
 Host = Annotated[str, msgspec.Meta(pattern=rf"\A({OCTET}\.){{3}}{OCTET}\Z")]
 
 
-class PeerCard(NamedTuple):
+class PeerInfo(NamedTuple):
     """Who an instance is.
 
     Attributes
@@ -44,7 +44,7 @@
 
     Attributes
     ----------
-    card : PeerCard
+    info : PeerInfo
         The sender.
     process : int
         Random number of the sender's process.
@@ -66,10 +66,10 @@
     confirmed : dict of str to int
         Milliseconds since the store last told the sender what has changed in a table.
     limited : list of (int, int, int, int, int)
-        Code of an endpoint that names a limit, and the figures of `NamedLimit.told`.
+        Code of an endpoint that names a limit, and the figures of `AdvertisedLimit.own_report`.
     """
 
-    card: PeerCard
+    info: PeerInfo
     process: int
     sequence: int
     leaving: bool
@@ -91,12 +91,12 @@
 
     Parameters
     ----------
-    card : PeerCard
+    info : PeerInfo
         Who it is.
     """
 
-    def __init__(self, card):
-        self.card = card
+    def __init__(self, info):
+        self.info = info
         self.process = None
         self.former_process = None
         self.sequence = -1
--- a/quetzalwall/process/knowledge/peer_socket.py
+++ b/quetzalwall/process/cluster/peer_socket.py
@@ -4,7 +4,7 @@
 import msgspec
 
 from quetzalwall.logs import get_logger, log_event
-from quetzalwall.process.knowledge.peer_report import decode_report, encode_report
+from quetzalwall.process.cluster.peer_report import decode_report, encode_report
 from quetzalwall.process.tasks import repeat
 
 __all__ = ["PeerSocket"]
@@ -54,15 +54,15 @@
         ----------
         report : PeerReport
             The report.
-        cards : sequence of PeerCard
+        cards : sequence of PeerInfo
             Instances that get it.
         """
         raw = encode_report(report)
-        for card in cards:
+        for info in cards:
             try:
-                self._sock.sendto(raw, (card.host, self._port))
+                self._sock.sendto(raw, (info.host, self._port))
             except OSError as exc:
-                log_event(LOG, "not-sent", "warning", peer=card.host, reason=str(exc))
+                log_event(LOG, "not-sent", "warning", peer=info.host, reason=str(exc))
 
     def _receive(self):
         gevent.socket.wait_read(self._sock.fileno())
--- a/quetzalwall/process/knowledge/peer_tables.py
+++ b/quetzalwall/process/cluster/peer_tables.py
@@ -7,8 +7,8 @@
 from quetzalwall.connection.json_call import create_json_client
 from quetzalwall.exceptions import PeerError
 from quetzalwall.logs import get_logger, log_event
-from quetzalwall.process.knowledge.knowledge import read_exported
-from quetzalwall.process.knowledge.readers import ahead_of
+from quetzalwall.process.cluster.cluster_state import read_exported
+from quetzalwall.process.cluster.store_readers import ahead_of
 
 __all__ = ["PeerTables", "create_peer_tables"]
 
@@ -60,9 +60,9 @@
             The rows, and whether they are all rows; None if none could tell.
         """
         cards = sorted(ahead_of(self._fleet, table), key=self._rank)
-        places = [(card.host, self._port) for card in cards]
+        places = [(info.host, self._port) for info in cards]
         if not places and not after:
-            own = (self._fleet.card.host, self._port)
+            own = (self._fleet.own_info.host, self._port)
             places = [place for place in self._seeds() if place != own]
             self._rng.shuffle(places)
         if not places:
@@ -75,14 +75,14 @@
             self._failed[place] = self._monotonic()
         return found
 
-    def _rank(self, card):
+    def _rank(self, info):
         """Return a key that puts the own region first, and is another one elsewhere.
 
         Instances that know the same would all ask the first one otherwise.
         """
-        own = self._fleet.card
-        drawn = xxhash.xxh64_intdigest(f"{own.name}\n{card.name}".encode())
-        return card.region != own.region, drawn
+        own = self._fleet.own_info
+        drawn = xxhash.xxh64_intdigest(f"{own.name}\n{info.name}".encode())
+        return info.region != own.region, drawn
 
     def _forget_failures(self):
         now = self._monotonic()
--- a/quetzalwall/process/knowledge/audience.py
+++ b/quetzalwall/process/cluster/report_group.py
@@ -3,16 +3,16 @@
 import math
 from collections import deque
 
-__all__ = ["NAMED_S", "PERIOD_S", "SILENT_AFTER_S", "Audience"]
+__all__ = ["NAMED_S", "PERIOD_S", "UNRESPONSIVE_AFTER_S", "ReportGroup"]
 
 PERIOD_S = 0.1
-SILENT_AFTER_S = 1.5
+UNRESPONSIVE_AFTER_S = 1.5
 SILENT_PERIODS = 6
 NAMED_S = 5.5  # without a report, callers are sent elsewhere; it may run all the same
 MOST_HELD = 200  # objects named in one report
 
 
-class Audience:
+class ReportGroup:
     """The peers of the own region, or all others, and what they were told last.
 
     Parameters
@@ -51,4 +51,4 @@
         -------
         float
         """
-        return max(SILENT_AFTER_S, SILENT_PERIODS * self.period_s())
+        return max(UNRESPONSIVE_AFTER_S, SILENT_PERIODS * self.period_s())
--- a/quetzalwall/process/knowledge/readers.py
+++ b/quetzalwall/process/cluster/store_readers.py
@@ -23,7 +23,7 @@
         return True
     before = 0
     for peer in fleet.before():
-        if peer.card.region != fleet.card.region:
+        if peer.info.region != fleet.own_info.region:
             continue
         if peer.reaches_store and not (peer.silent or peer.leaving):
             before += 1
@@ -80,15 +80,15 @@
 
     Returns
     -------
-    list of PeerCard
+    list of PeerInfo
         Those of the own region first.
     """
     own = known_up_to(fleet, table)
     if fleet.news.newest(table) <= own:
         return []
     cards = [
-        peer.card
+        peer.info
         for peer in fleet.peers()
         if not peer.silent and peer.tables.get(table, 0) > own
     ]
-    return sorted(cards, key=lambda card: card.region != fleet.card.region)
+    return sorted(cards, key=lambda info: info.region != fleet.own_info.region)
--- a/quetzalwall/process/knowledge/store_watch.py
+++ b/quetzalwall/process/cluster/store_watch.py
@@ -12,7 +12,7 @@
 from quetzalwall.exceptions import StoreError
 from quetzalwall.logs import get_logger, log_event
 from quetzalwall.platform.store import HistoryGone
-from quetzalwall.process.knowledge.readers import (
+from quetzalwall.process.cluster.store_readers import (
     ahead_of,
     comes_first,
     follows_store,
@@ -70,7 +70,7 @@
 
     def __init__(self, store, table, on_rows, ask_peer, fleet, monotonic):
         self.loaded = False
-        self.lost = False
+        self.last_call_failed = False
         self.contact = monotonic()
         self._store = store
         self._table = table
@@ -105,9 +105,9 @@
         -------
         bool
         """
-        return self.lost and self._monotonic() - self.contact > AWAY_AFTER_S
+        return self.last_call_failed and self._monotonic() - self.contact > AWAY_AFTER_S
 
-    def look(self):
+    def check_staleness(self):
         """Write a line if other instances have known more for a while.
 
         Returns
@@ -153,7 +153,9 @@
             return
         try:
             # After a failure an answer is wanted at once, whether or not there is news.
-            self._call(self._feed_wait_s() if follows and not self.lost else 0)
+            self._call(
+                self._feed_wait_s() if follows and not self.last_call_failed else 0
+            )
             gevent.sleep(PAUSE_S)
         except HistoryGone:
             log_event(LOG, "history-gone", "warning", table=self._table)
@@ -226,7 +228,7 @@
         self.contact = max(self.contact, as_of)
         told_s = self._told_s()
         if not self.loaded:
-            asks = self.lost or self._call_s() > ASK_AFTER_S
+            asks = self.last_call_failed or self._call_s() > ASK_AFTER_S
         elif follows_store(self._fleet):
             asks = told_s > ASK_AFTER_S
         else:
@@ -247,15 +249,15 @@
         log_event(LOG, "from-peer", table=self._table, version=rows.version)
 
     def _note_answer(self):
-        if self.lost:
+        if self.last_call_failed:
             away_s = self._monotonic() - self.contact
             log_event(LOG, "regained", table=self._table, away_s=away_s)
-        self.lost = False
+        self.last_call_failed = False
         self._fleet.reaches_store = True
         self._pause_s = RETRY_FIRST_S
 
     def _note_lost(self, exc):
-        if not self.lost:
+        if not self.last_call_failed:
             log_event(
                 LOG,
                 "lost",
@@ -266,7 +268,7 @@
                 version=self._version,
                 call_s=self._call_s(),
             )
-        self.lost = True
+        self.last_call_failed = True
         self._called = None
         self._fleet.reaches_store = False
 
--- a/quetzalwall/process/knowledge/tests/test_asking_others.py
+++ b/quetzalwall/process/cluster/tests/test_asking_others.py
@@ -5,9 +5,9 @@
 from unittest import mock
 
 from quetzalwall.clock import system_clock
-from quetzalwall.process.knowledge import peer_tables
-from quetzalwall.process.knowledge.peer_report import PeerCard, PeerReport
-from quetzalwall.process.knowledge.tests.test_behind_others import (
+from quetzalwall.process.cluster import peer_tables
+from quetzalwall.process.cluster.peer_report import PeerInfo, PeerReport
+from quetzalwall.process.cluster.tests.test_behind_others import (
     CHANGES,
     TABLE,
     fleet_of,
@@ -31,7 +31,7 @@
     with mock.patch.object(peer_tables, "_ask", ask):
         for n in range(ASKING):
             fleet = fleet_of([own_address(n) for n in range(KNOWING)], 7)
-            fleet.card = fleet.card._replace(name=f"own-{n}")
+            fleet.own_info = fleet.own_info._replace(name=f"own-{n}")
             monotonic = system_clock().monotonic
             tables = peer_tables.create_peer_tables(
                 fleet, 1, list, random.Random(n), monotonic
@@ -45,7 +45,7 @@
 def test_instances_of_the_own_region_are_asked_first_and_each_once_while_they_fail():
     own = [own_address(n) for n in range(4)]
     fleet = fleet_of(own, 7)
-    other = PeerCard("far", "south", "south-a", own_address(50))
+    other = PeerInfo("far", "south", "south-a", own_address(50))
     report = PeerReport(other, 1, 1, False, True, {TABLE: 9}, [], [], [])
     fleet.receive(report, system_clock().monotonic())
     asked = []
--- a/quetzalwall/process/knowledge/tests/test_behind_others.py
+++ b/quetzalwall/process/cluster/tests/test_behind_others.py
@@ -9,11 +9,11 @@
 from quetzalwall.clock import system_clock
 from quetzalwall.connection.http_server import create_server, json_answer
 from quetzalwall.platform.store import RowChange, Rows
-from quetzalwall.process.knowledge.fleet import create_fleet
-from quetzalwall.process.knowledge.peer_report import PeerCard, PeerReport
-from quetzalwall.process.knowledge.peer_tables import create_peer_tables
-from quetzalwall.process.knowledge.readers import follows_store
-from quetzalwall.process.knowledge.store_watch import create_table_watch
+from quetzalwall.process.cluster.fleet import create_fleet
+from quetzalwall.process.cluster.peer_report import PeerInfo, PeerReport
+from quetzalwall.process.cluster.peer_tables import create_peer_tables
+from quetzalwall.process.cluster.store_readers import follows_store
+from quetzalwall.process.cluster.store_watch import create_table_watch
 from quetzalwall.tests.platform_fixtures import free_ports, own_address, wait_for
 
 TABLE = "servers"
@@ -24,11 +24,11 @@
 def fleet_of(hosts, version):
     """Return a fleet in which another instance at each host knows a version."""
     endpoints = SimpleNamespace(by_code=lambda code: None)
-    card = PeerCard("own", "north", "north-a", own_address(99))
+    info = PeerInfo("own", "north", "north-a", own_address(99))
     monotonic = system_clock().monotonic
-    fleet = create_fleet(card, 1, endpoints, monotonic, 1)
+    fleet = create_fleet(info, 1, endpoints, monotonic, 1)
     for n, host in enumerate(hosts):
-        peer = PeerCard(f"peer-{n}", "north", "north-a", host)
+        peer = PeerInfo(f"peer-{n}", "north", "north-a", host)
         tables = {TABLE: version}
         report = PeerReport(peer, 1, 1, False, True, tables, [], [], [])
         fleet.receive(report, monotonic())
--- a/quetzalwall/process/knowledge/tests/test_bounded_knowledge.py
+++ b/quetzalwall/process/cluster/tests/test_bounded_knowledge.py
@@ -1,39 +1,39 @@
 import json
 
 from quetzalwall.platform.store import RowChange, Rows
+from quetzalwall.process.cluster.cluster_state import MOST_REMOVED, read_exported
+from quetzalwall.process.cluster.tests.test_knowledge import create, usable
 from quetzalwall.process.front_metrics import create_front_metrics
-from quetzalwall.process.knowledge.knowledge import MOST_REMOVED, read_exported
-from quetzalwall.process.knowledge.tests.test_knowledge import create, usable
 from quetzalwall.tests.platform_fixtures import entry_body
 
 PLACE = ("127.0.0.1", 80)
 
 
-def change(knowledge, name, row, present):
+def change(cluster_state, name, row, present):
     value = json.dumps(entry_body(PLACE)).encode() if present else None
     rows = Rows([RowChange(name, value, row)], row)
-    knowledge.apply("servers", rows, False, False)
+    cluster_state.apply("servers", rows, False, False)
 
 
 # Each endpoint that ever left stayed in the memory of every instance.
 def test_only_the_latest_removals_are_remembered():
-    knowledge, _ = create()
+    cluster_state, _ = create()
     for n in range(MOST_REMOVED + 500):
-        change(knowledge, f"ep-{n}", 2 * n + 1, True)
-        change(knowledge, f"ep-{n}", 2 * n + 2, False)
-    exported = knowledge.export("servers", after=2 * MOST_REMOVED)
+        change(cluster_state, f"ep-{n}", 2 * n + 1, True)
+        change(cluster_state, f"ep-{n}", 2 * n + 2, False)
+    exported = cluster_state.export("servers", after=2 * MOST_REMOVED)
     assert not exported["whole"] and len(exported["removed"]) == 500
-    assert len(knowledge._removed["servers"]) == MOST_REMOVED
+    assert len(cluster_state._removed["servers"]) == MOST_REMOVED
 
 
 def test_one_that_lacks_a_forgotten_removal_gets_the_whole_table():
-    knowledge, _ = create()
+    cluster_state, _ = create()
     other, _ = create()
     change(other, "ep-0", 1, True)
-    change(knowledge, "ep-0", 1, True)
+    change(cluster_state, "ep-0", 1, True)
     for n in range(MOST_REMOVED + 1):
-        change(knowledge, f"ep-{n}", n + 2, False)
-    exported = knowledge.export("servers", after=1)
+        change(cluster_state, f"ep-{n}", n + 2, False)
+    exported = cluster_state.export("servers", after=1)
     assert exported["whole"]
     rows, whole = read_exported(exported, "one")
     other.apply("servers", rows, whole, False)
--- a/quetzalwall/process/knowledge/tests/test_endpoint_table.py
+++ b/quetzalwall/process/cluster/tests/test_endpoint_table.py
@@ -1,6 +1,6 @@
 import random
 
-from quetzalwall.process.knowledge.endpoint_table import create_endpoint_table
+from quetzalwall.process.cluster.endpoint_table import create_endpoint_table
 from quetzalwall.process.self_watch import resident_bytes
 from quetzalwall.tests.platform_fixtures import ManualClock
 from quetzalwall.version.model import EndpointEntry
@@ -26,22 +26,24 @@
     table = table_of(60)
     before = resident_bytes()
     for key in range(20_000):
-        table.order("desk", key * 7919)
+        table.preferred_ranks("desk", key * 7919)
     assert resident_bytes() - before < MOST_BYTES
 
 
 def test_the_order_of_an_object_changes_only_where_endpoints_change():
     table = table_of(12)
-    first = [table.order("desk", key) for key in range(200)]
+    first = [table.preferred_ranks("desk", key) for key in range(200)]
     table.put(entry("ep-new", 99))
     for key in range(200):
-        names = [name for name in table.order("desk", key) if name != "ep-new"]
+        names = [
+            name for name in table.preferred_ranks("desk", key) if name != "ep-new"
+        ]
         known = [name for name in first[key] if name in names]
         assert names == known
 
 
 def usable_of(table, service):
-    """Return what `of_service` has to return, from all states."""
+    """Return what `routable_endpoints` has to return, from all states."""
     return {
         state.name
         for state in table
@@ -79,6 +81,6 @@
                         known[other] = False
                     assert table.get(other).usable() == known[other], step
         for service in ("desk", "shop"):
-            found = [state.name for state in table.of_service(service)]
+            found = [state.name for state in table.routable_endpoints(service)]
             assert len(found) == len(set(found))
             assert set(found) == usable_of(table, service), step
--- a/quetzalwall/process/knowledge/tests/test_lapsed_entries.py
+++ b/quetzalwall/process/cluster/tests/test_lapsed_entries.py
@@ -3,8 +3,8 @@
 import json
 
 from quetzalwall.platform.store import Rows
-from quetzalwall.process.knowledge.knowledge import read_exported
-from quetzalwall.process.knowledge.tests.test_knowledge import (
+from quetzalwall.process.cluster.cluster_state import read_exported
+from quetzalwall.process.cluster.tests.test_knowledge import (
     CARD,
     create,
     register,
@@ -19,8 +19,8 @@
 
 
 def drop_lapsed(*knowledges):
-    for knowledge in knowledges:
-        knowledge.endpoints.drop_lapsed()
+    for cluster_state in knowledges:
+        cluster_state.endpoints.drop_lapsed()
 
 
 # DRAIN: each instance that was told of an entry that may have lapsed gave it 2 s anew,
@@ -29,8 +29,8 @@
     first, clock = create()
     second, _ = create(clock, CARD._replace(name="second"))
     third, _ = create(clock, CARD._replace(name="third"))
-    for knowledge in (first, second, third):
-        register(knowledge, "ep-1", 1)
+    for cluster_state in (first, second, third):
+        register(cluster_state, "ep-1", 1)
     unregister(first, "ep-1", 2, away=True)
     clock.now += 0.8
     tell(first, second, 1)
@@ -47,8 +47,8 @@
 def test_a_lapsed_entry_that_did_not_come_back_in_time_is_gone_for_who_is_told():
     first, clock = create()
     second, _ = create(clock, CARD._replace(name="second"))
-    for knowledge in (first, second):
-        register(knowledge, "ep-1", 1)
+    for cluster_state in (first, second):
+        register(cluster_state, "ep-1", 1)
     unregister(first, "ep-1", 2, away=True)
     clock.now += 2.1
     drop_lapsed(first)
@@ -62,8 +62,8 @@
 def test_who_is_told_a_whole_table_waits_for_lapsed_entries_as_well():
     first, clock = create()
     second, _ = create(clock, CARD._replace(name="second"))
-    for knowledge in (first, second):
-        register(knowledge, "ep-1", 1)
+    for cluster_state in (first, second):
+        register(cluster_state, "ep-1", 1)
     first.apply("servers", Rows([], 2), True, True)
     clock.now += 0.8
     tell(first, second, 1)
--- a/quetzalwall/process/knowledge/tests/test_late_line.py
+++ b/quetzalwall/process/cluster/tests/test_late_line.py
@@ -6,8 +6,8 @@
 
 from quetzalwall.clock import system_clock
 from quetzalwall.platform.store import Rows
-from quetzalwall.process.knowledge.store_watch import create_table_watch
-from quetzalwall.process.knowledge.tests.test_behind_others import TABLE, fleet_of
+from quetzalwall.process.cluster.store_watch import create_table_watch
+from quetzalwall.process.cluster.tests.test_behind_others import TABLE, fleet_of
 from quetzalwall.tests.platform_fixtures import ManualClock, own_address
 
 
@@ -25,11 +25,11 @@
         clock.monotonic,
     )
     with logbook.TestHandler() as handler:
-        watch.look()
+        watch.check_staleness()
         clock.now += 1.5
-        watch.look()
+        watch.check_staleness()
         fleet.read_up_to[TABLE] = 7
-        watch.look()
+        watch.check_staleness()
     lines = [record.message for record in handler.records]
     assert len(lines) == 1
     assert "event=late" in lines[0]
--- a/quetzalwall/process/knowledge/tests/test_named_instances.py
+++ b/quetzalwall/process/cluster/tests/test_named_instances.py
@@ -2,8 +2,8 @@
 
 import random
 
-from quetzalwall.process.knowledge.peer_report import PeerCard, PeerReport
-from quetzalwall.process.knowledge.tests.test_members import create
+from quetzalwall.process.cluster.peer_report import PeerInfo, PeerReport
+from quetzalwall.process.cluster.tests.test_members import create
 from quetzalwall.tests.platform_fixtures import ManualClock
 
 INSTANCES = 300
@@ -22,15 +22,15 @@
         tick = round(clock.now / TICK_S)
         for n in set(range(INSTANCES)) - gone:
             region = REGIONS[n % len(REGIONS)]
-            if (tick + 7 * n) % every[region == fleet.card.region] == 0:
-                card = PeerCard(f"front-{n}", region, "a", "127.0.0.1")
-                report = PeerReport(card, 5, tick, False, True, {}, [], [], [])
+            if (tick + 7 * n) % every[region == fleet.own_info.region] == 0:
+                info = PeerInfo(f"front-{n}", region, "a", "127.0.0.1")
+                report = PeerReport(info, 5, tick, False, True, {}, [], [], [])
                 fleet.receive(report, clock.now - rng.random() * TICK_S)
         fleet.expire(clock.now)
 
 
 def named(fleet):
-    return {card.name for card in fleet.live()}
+    return {info.name for info in fleet.live()}
 
 
 # DRAIN, at scale: an instance that was killed was named for 10 s in its region and for
@@ -39,7 +39,7 @@
     rng, clock = random.Random(7), ManualClock()
     fleet = create(clock)
     for n in range(INSTANCES):
-        fleet.introduce(PeerCard(f"front-{n}", REGIONS[n % 3], "a", "127.0.0.1"))
+        fleet.add_registered(PeerInfo(f"front-{n}", REGIONS[n % 3], "a", "127.0.0.1"))
     play(fleet, clock, rng, 12.0, set())
     assert len(named(fleet)) == INSTANCES + 1
     play(fleet, clock, rng, STABLE_S + BEYOND_S, GONE)
--- a/quetzalwall/process/knowledge/tests/test_named_limit.py
+++ b/quetzalwall/process/cluster/tests/test_named_limit.py
@@ -1,26 +1,26 @@
 """What an instance knows of a limit that an endpoint names."""
 
-from quetzalwall.process.knowledge.named_limit import ENDED, NamedLimit
+from quetzalwall.process.cluster.advertised_limit import ENDED, AdvertisedLimit
 
 NAMES = ["a", "b", "c"]
 
 
 def named(per_s=5.0, now=100.0):
-    limit = NamedLimit(now)
-    limit.note_answer(per_s, now)
+    limit = AdvertisedLimit(now)
+    limit.record_response(per_s, now)
     return limit
 
 
 def test_others_learn_of_a_limit_of_its_change_and_of_its_end():
-    first, second = named(5.0, 100.0), NamedLimit(100.1)
-    second.hear("a", first.told(100.1), 100.1)
+    first, second = named(5.0, 100.0), AdvertisedLimit(100.1)
+    second.receive_report("a", first.own_report(100.1), 100.1)
     assert second.per_s == 5.0
-    first.note_answer(2.5, 101.0)
-    second.hear("a", first.told(101.1), 101.1)
+    first.record_response(2.5, 101.0)
+    second.receive_report("a", first.own_report(101.1), 101.1)
     assert second.per_s == 2.5
-    first.note_answer(None, 102.0)
-    assert first.told(102.1)[0] == ENDED
-    second.hear("a", first.told(102.1), 102.1)
+    first.record_response(None, 102.0)
+    assert first.own_report(102.1)[0] == ENDED
+    second.receive_report("a", first.own_report(102.1), 102.1)
     assert second.per_s is None
     assert not second.forgettable(105.0)
     assert second.forgettable(111.0)
@@ -28,19 +28,19 @@
 
 def test_an_older_answer_that_another_instance_had_changes_nothing():
     first, second = named(5.0, 100.0), named(2.0, 103.0)
-    second.hear("a", first.told(103.5), 103.5)
+    second.receive_report("a", first.own_report(103.5), 103.5)
     assert second.per_s == 2.0
-    first.hear("b", second.told(103.5), 103.5)
+    first.receive_report("b", second.own_report(103.5), 103.5)
     assert first.per_s == 2.0
     # What is known from others is not told on as known by an own answer.
-    assert first.told(104.0)[1] < 0
+    assert first.own_report(104.0)[1] < 0
 
 
 def test_somebody_sends_a_request_to_an_endpoint_that_takes_none():
     limits = {name: named(0.0) for name in NAMES}
     allowed = [name for name in NAMES if limits[name].allows("ep", name, NAMES, 101.0)]
     assert len(allowed) == 1
-    limits[allowed[0]].take(101.0)
+    limits[allowed[0]].record_sent(101.0)
     assert not limits[allowed[0]].allows("ep", allowed[0], NAMES, 104.0)
     assert 0 < limits[allowed[0]].wait_s(104.0) < 2.0
     assert limits[allowed[0]].allows("ep", allowed[0], NAMES, 105.5)
@@ -49,6 +49,6 @@
 def test_what_others_have_sent_counts_where_views_differ():
     limit = named(5.0)
     for name in ("b", "c"):
-        limit.hear(name, (5000, 0, 0, 14), 103.0)
+        limit.receive_report(name, (5000, 0, 0, 14), 103.0)
     assert not limit.allows("ep", "a", NAMES, 103.0)
     assert limit.allows("ep", "a", NAMES, 109.0)  # nobody tells it any more
--- a/quetzalwall/process/knowledge/tests/test_peer_hosts.py
+++ b/quetzalwall/process/cluster/tests/test_peer_hosts.py
@@ -4,13 +4,13 @@
 from nose2.tools import params
 
 from quetzalwall.platform.store import RowChange, Rows
-from quetzalwall.process.knowledge.peer_report import (
-    PeerCard,
+from quetzalwall.process.cluster.peer_report import (
+    PeerInfo,
     PeerReport,
     decode_report,
     encode_report,
 )
-from quetzalwall.process.knowledge.tests.test_behind_others import fleet_of
+from quetzalwall.process.cluster.tests.test_behind_others import fleet_of
 from quetzalwall.process.registration import register
 from quetzalwall.tests.platform_fixtures import own_address
 
@@ -18,8 +18,8 @@
 
 
 def report_of(host):
-    card = PeerCard("peer", "north", "north-a", host)
-    return encode_report(PeerReport(card, 1, 1, False, True, {}, [], [], []))
+    info = PeerInfo("peer", "north", "north-a", host)
+    return encode_report(PeerReport(info, 1, 1, False, True, {}, [], [], []))
 
 
 # Found by class with report 3: an instance that gave a name for its address had every
@@ -37,9 +37,9 @@
     fleet = fleet_of([], 1)
     hosts = [*NAMES, own_address(1)]
     cards = [
-        PeerCard(f"peer-{n}", "north", "north-a", host) for n, host in enumerate(hosts)
+        PeerInfo(f"peer-{n}", "north", "north-a", host) for n, host in enumerate(hosts)
     ]
-    rows = [RowChange(card.name, msgspec.json.encode(card), 1) for card in cards]
+    rows = [RowChange(info.name, msgspec.json.encode(info), 1) for info in cards]
 
     class Store:
         def put(self, table, key, value):
@@ -49,11 +49,11 @@
             return Rows(rows, 1)
 
     register(Store(), fleet)
-    assert [peer.card for peer in fleet.peers()] == cards[-1:]
+    assert [peer.info for peer in fleet.peers()] == cards[-1:]
 
 
 def test_every_ip_number_is_taken():
     rng = random.Random(1)
     for _ in range(1000):
         host = ".".join(str(rng.randrange(256)) for _ in range(4))
-        assert decode_report(report_of(host)).card.host == host
+        assert decode_report(report_of(host)).info.host == host
--- a/quetzalwall/process/knowledge/tests/test_quiet_work.py
+++ b/quetzalwall/process/cluster/tests/test_quiet_work.py
@@ -3,10 +3,10 @@
 import time
 
 from quetzalwall.platform.headers import answer_facts
-from quetzalwall.process.knowledge.endpoint_table import create_endpoint_table
-from quetzalwall.process.knowledge.fleet import create_fleet
-from quetzalwall.process.knowledge.peer_report import PeerCard, PeerReport
-from quetzalwall.process.knowledge.readers import ahead_of, follows_store
+from quetzalwall.process.cluster.endpoint_table import create_endpoint_table
+from quetzalwall.process.cluster.fleet import create_fleet
+from quetzalwall.process.cluster.peer_report import PeerInfo, PeerReport
+from quetzalwall.process.cluster.store_readers import ahead_of, follows_store
 from quetzalwall.tests.platform_fixtures import DOMAINS, ManualClock
 from quetzalwall.version.model import EndpointEntry
 
@@ -24,16 +24,16 @@
         place = f"10.0.{n // 250}.{n % 250}", 8000
         fields = "north-a", 6, False, 0.0, 0
         endpoints.put(EndpointEntry(f"ep-{n}", "desk", *place, *fields))
-    card = PeerCard("front-0", "north", "north-a", "127.0.0.1")
-    fleet = create_fleet(card, 1, endpoints, clock.monotonic, 7)
+    info = PeerInfo("front-0", "north", "north-a", "127.0.0.1")
+    fleet = create_fleet(info, 1, endpoints, clock.monotonic, 7)
     fleet.tables = dict(TABLES)
     return fleet
 
 
 def hear(fleet, instances, now, sequence):
     for n in range(1, instances):
-        card = PeerCard(f"front-{n}", ("north", "south")[n % 2], "a", "127.0.0.1")
-        report = PeerReport(card, n, sequence, False, True, TABLES, [], [], [])
+        info = PeerInfo(f"front-{n}", ("north", "south")[n % 2], "a", "127.0.0.1")
+        report = PeerReport(info, n, sequence, False, True, TABLES, [], [], [])
         fleet.receive(report, now)
 
 
--- a/quetzalwall/process/knowledge/tests/test_restarted_instance.py
+++ b/quetzalwall/process/cluster/tests/test_restarted_instance.py
@@ -6,11 +6,14 @@
 
 from quetzalwall.platform.headers import answer_facts
 from quetzalwall.platform.store import RowChange, Rows
-from quetzalwall.process.knowledge.endpoint_table import create_endpoint_table
-from quetzalwall.process.knowledge.fleet import create_fleet
-from quetzalwall.process.knowledge.knowledge import create_knowledge, read_exported
-from quetzalwall.process.knowledge.peer_report import PeerCard, PeerReport
-from quetzalwall.process.knowledge.readers import ahead_of, known_up_to
+from quetzalwall.process.cluster.cluster_state import (
+    create_cluster_state,
+    read_exported,
+)
+from quetzalwall.process.cluster.endpoint_table import create_endpoint_table
+from quetzalwall.process.cluster.fleet import create_fleet
+from quetzalwall.process.cluster.peer_report import PeerInfo, PeerReport
+from quetzalwall.process.cluster.store_readers import ahead_of, known_up_to
 from quetzalwall.tests.platform_fixtures import DOMAINS, ManualClock, entry_body
 
 TABLE = "servers"
@@ -18,10 +21,10 @@
 
 def create(name):
     clock = ManualClock()
-    card = PeerCard(name, "north", "north-a", "127.0.0.1")
+    info = PeerInfo(name, "north", "north-a", "127.0.0.1")
     endpoints = create_endpoint_table(DOMAINS, answer_facts, clock.monotonic)
-    return create_knowledge(
-        endpoints, create_fleet(card, 1, endpoints, clock.monotonic, 7)
+    return create_cluster_state(
+        endpoints, create_fleet(info, 1, endpoints, clock.monotonic, 7)
     )
 
 
@@ -30,8 +33,8 @@
     return RowChange(f"ep-{number}", json.dumps(body).encode(), version)
 
 
-def take(knowledge, version, *changes, whole=False):
-    knowledge.apply(TABLE, Rows(list(changes), version), whole, False)
+def take(cluster_state, version, *changes, whole=False):
+    cluster_state.apply(TABLE, Rows(list(changes), version), whole, False)
 
 
 def ask(asker, told):
@@ -41,8 +44,10 @@
     asker.apply(TABLE, rows, whole, False)
 
 
-def usable(knowledge):
-    return sorted(state.name for state in knowledge.endpoints.of_service("desk"))
+def usable(cluster_state):
+    return sorted(
+        state.name for state in cluster_state.endpoints.routable_endpoints("desk")
+    )
 
 
 # DRAIN, known red of report 1: who had read the table anew, after a start or when the
@@ -78,13 +83,13 @@
 def test_an_instance_that_read_a_newer_table_is_behind_nobody():
     own = create("own")
     take(own, 20, row(2, 9), whole=True)
-    card = PeerCard("peer", "north", "north-b", "127.0.0.2")
-    report = PeerReport(card, 1, 1, False, True, {TABLE: 15}, [], [], [])
+    info = PeerInfo("peer", "north", "north-b", "127.0.0.2")
+    report = PeerReport(info, 1, 1, False, True, {TABLE: 15}, [], [], [])
     own.fleet.receive(report, 1000.0)
     assert ahead_of(own.fleet, TABLE) == []
     report = report._replace(sequence=2, tables={TABLE: 21})
     own.fleet.receive(report, 1000.0)
-    assert ahead_of(own.fleet, TABLE) == [card]
+    assert ahead_of(own.fleet, TABLE) == [info]
 
 
 # Who knows as much as that instance did when it read the table is told of changes only.
--- a/quetzalwall/process/front.py
+++ b/quetzalwall/process/front.py
@@ -24,18 +24,18 @@
     read_settings,
 )
 from quetzalwall.platform.store import create_store_client
-from quetzalwall.process.front_interfaces import create_interfaces
-from quetzalwall.process.front_metrics import create_front_metrics
-from quetzalwall.process.knowledge.endpoint_table import create_endpoint_table
-from quetzalwall.process.knowledge.fleet import create_fleet
-from quetzalwall.process.knowledge.knowledge import (
+from quetzalwall.process.cluster.cluster_state import (
     PLATFORM_TABLES,
     TREE_TABLES,
-    create_knowledge,
+    create_cluster_state,
 )
-from quetzalwall.process.knowledge.peer_report import PeerCard
-from quetzalwall.process.knowledge.peer_tables import create_peer_tables
-from quetzalwall.process.knowledge.store_watch import create_table_watch
+from quetzalwall.process.cluster.endpoint_table import create_endpoint_table
+from quetzalwall.process.cluster.fleet import create_fleet
+from quetzalwall.process.cluster.peer_report import PeerInfo
+from quetzalwall.process.cluster.peer_tables import create_peer_tables
+from quetzalwall.process.cluster.store_watch import create_table_watch
+from quetzalwall.process.front_interfaces import create_interfaces
+from quetzalwall.process.front_metrics import create_front_metrics
 from quetzalwall.process.limits.cold_start_limiter import create_cold_start_limiter
 from quetzalwall.process.limits.fleet_limits import FleetLimits
 from quetzalwall.process.limits.retry_budget import create_retry_budget
@@ -100,7 +100,7 @@
         self.rng = rng
         self._stopped = gevent.event.Event()
         now = clock.monotonic
-        card = PeerCard(
+        info = PeerInfo(
             settings.instance,
             settings.region,
             settings.domain,
@@ -114,16 +114,16 @@
         )
         self.endpoints.connections.most = most_to_endpoints(settings.connections)
         self.fleet = create_fleet(
-            card,
+            info,
             settings.peer_port,
             self.endpoints,
             now,
             rng.getrandbits(PROCESS_BITS),
         )
-        self.knowledge = create_knowledge(
+        self.cluster_state = create_cluster_state(
             self.endpoints, self.fleet, TREE_TABLES if from_tree else PLATFORM_TABLES
         )
-        self.knowledge.on_configuration = self._take_configuration
+        self.cluster_state.on_configuration = self._take_configuration
         self._peer_tables = create_peer_tables(
             self.fleet, settings.listen.peers[1], lambda: self.settings.seeds, rng, now
         )
@@ -144,14 +144,14 @@
         self.operators = self._batcher = claims = None
         if from_tree:
             table = create_store_table(self._store)
-            self.operators = create_settings_admin(self.knowledge, table, clock)
+            self.operators = create_settings_admin(self.cluster_state, table, clock)
             self._batcher = create_write_batcher(table, clock, rng)
             claims = create_claims(
                 self._batcher, clock, settings.instance, spawn=gevent.spawn
             )
         self.server = create_request_server(
             dialect,
-            self.knowledge,
+            self.cluster_state,
             chooser,
             latency,
             self.limits,
@@ -162,7 +162,7 @@
         )
         self.self_watch = create_self_watch(settings.memory_mb, self._usage, now)
         self._watches = {
-            table: self._create_watch(table) for table in self.knowledge.tables
+            table: self._create_watch(table) for table in self.cluster_state.tables
         }
         self._servers = {}
         self._tasks = []
@@ -297,7 +297,7 @@
 
     def _create_watch(self, table):
         def on_rows(rows, whole, away):
-            self.knowledge.apply(table, rows, whole, away)
+            self.cluster_state.apply(table, rows, whole, away)
 
         return create_table_watch(
             self._store,
@@ -322,10 +322,10 @@
             if state.client.idle:
                 state.client.close_stale()
         self.limits.shifts.adjust()
-        age_s = max(watch.look() for watch in self._watches.values())
+        age_s = max(watch.check_staleness() for watch in self._watches.values())
         self.metrics.set_gauge("knowledge_age_seconds", age_s)
-        if self.endpoints.forgotten != self._forgotten:
-            self._forgotten = self.endpoints.forgotten
+        if self.endpoints.removal_count != self._forgotten:
+            self._forgotten = self.endpoints.removal_count
             self.limits.cold_start_limiter.prune(
                 lambda name: self.endpoints.get(name) is not None
             )
--- a/quetzalwall/process/front_interfaces.py
+++ b/quetzalwall/process/front_interfaces.py
@@ -63,7 +63,7 @@
         return _metrics(front, environ, start_response)
     if environ["PATH_INFO"] != READY_PATH:
         return json_answer(start_response, 404, {"error": "no such path"})
-    ready = front.knowledge.ready() and not front.stopping
+    ready = front.cluster_state.ready() and not front.stopping
     return json_answer(start_response, 200 if ready else 503, {"ready": ready})
 
 
@@ -96,27 +96,27 @@
         "lookup",
         region=region or "none",
         domain=domain or "none",
-        chosen=",".join(card.name for card in chosen),
+        chosen=",".join(info.name for info in chosen),
     )
     if not chosen:
         return json_answer(start_response, 503, {"error": "no instance is live"})
     port = front.settings.listen.callers[1]
     ttl_s = min(LOOKUP_TTL_S, front.settings.bounds.lookup_ttl_s)
-    body = lookup_body([(card.host, port) for card in chosen], ttl_s)
+    body = lookup_body([(info.host, port) for info in chosen], ttl_s)
     return json_answer(start_response, 200, body)
 
 
 def _lookup_service(front, environ, start_response):
     query = parse_qs(environ["QUERY_STRING"])
     service = query.get("service", [""])[0]
-    cfg = front.knowledge.configuration()
+    cfg = front.cluster_state.configuration()
     if cfg is None:
         return json_answer(start_response, 503, {"message": "no settings yet"})
     if service not in cfg.services:
         raise BadRequest(404, f"no such service: {service[:80]}")
     caller = query.get("caller", [environ["REMOTE_ADDR"]])[0]
     region = query.get("region", [front.settings.region])[0]
-    compiled = front.knowledge.tree.compiled
+    compiled = front.cluster_state.tree.compiled
     live = front.fleet.live()
     chosen = order_instances(live, region, caller, compiled.lookup_answers)
     front.metrics.looked_up()
@@ -126,13 +126,13 @@
         service=service,
         caller=caller,
         region=region,
-        chosen=",".join(card.name for card in chosen),
+        chosen=",".join(info.name for info in chosen),
         of=len(live),
     )
     port = front.settings.listen.callers[1]
     body = {
         "instances": [
-            {"name": card.name, "address": card.host, "port": port} for card in chosen
+            {"name": info.name, "address": info.host, "port": port} for info in chosen
         ],
         "ttl_s": compiled.lookup_ttl_s,
         "version": cfg.version,
@@ -156,7 +156,7 @@
 
 def _instances_for(front, region):
     live = front.fleet.live()
-    near = [card for card in live if card.region == region] or live
+    near = [info for info in live if info.region == region] or live
     chosen = sample_by_bandwidth(near, LOOKUP_ANSWERS, front.rng)
     if len(chosen) > MOST_ADDRESSES:
         return front.rng.sample(chosen, MOST_ADDRESSES)
@@ -167,15 +167,15 @@
     table = environ["PATH_INFO"].removeprefix("/tables/")
     text = parse_qs(environ["QUERY_STRING"]).get("after", ["0"])[0]
     exported = None
-    if table in front.knowledge.tables and text.isdigit():
-        exported = front.knowledge.export(table, int(text))
+    if table in front.cluster_state.tables and text.isdigit():
+        exported = front.cluster_state.export(table, int(text))
     if exported is None:
         return json_answer(start_response, 404, {"error": "not known here"})
     return json_answer(start_response, 200, exported)
 
 
 def _metrics(front, environ, start_response):
-    cfg = front.knowledge.configuration()
+    cfg = front.cluster_state.configuration()
     front.metrics.set_gauge("in_flight", front.in_flight)
     front.metrics.set_gauge("instances_live", len(front.fleet.live()))
     front.metrics.set_gauge("endpoints", len(front.endpoints))
--- a/quetzalwall/process/limits/tests/test_shifting.py
+++ b/quetzalwall/process/limits/tests/test_shifting.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 
 from quetzalwall.platform.headers import answer_facts
-from quetzalwall.process.knowledge.endpoint_table import create_endpoint_table
-from quetzalwall.process.knowledge.fleet import create_fleet
-from quetzalwall.process.knowledge.peer_report import PeerCard
+from quetzalwall.process.cluster.endpoint_table import create_endpoint_table
+from quetzalwall.process.cluster.fleet import create_fleet
+from quetzalwall.process.cluster.peer_report import PeerInfo
 from quetzalwall.process.limits.share import even_share
 from quetzalwall.process.limits.traffic_shifts import create_traffic_shifts
 from quetzalwall.tests.platform_fixtures import ManualClock
@@ -23,8 +23,8 @@
 
     def __init__(self, name, clock, region="north"):
         self.endpoints = create_endpoint_table(DOMAINS, answer_facts, clock.monotonic)
-        card = PeerCard(name, region, f"{region}-a", "127.0.0.1")
-        self.fleet = create_fleet(card, 1, self.endpoints, clock.monotonic, 1)
+        info = PeerInfo(name, region, f"{region}-a", "127.0.0.1")
+        self.fleet = create_fleet(info, 1, self.endpoints, clock.monotonic, 1)
         rng = random.Random(name)
         self.shifts = create_traffic_shifts(
             self.endpoints, self.fleet, rng, clock.monotonic
@@ -48,7 +48,7 @@
     found = [Side(name, clock) for name in names]
     for side in found:
         for other in found:
-            side.fleet.introduce(other.fleet.card)
+            side.fleet.add_registered(other.fleet.own_info)
     return found
 
 
@@ -87,7 +87,7 @@
     found = sides(clock)
     fresh = Side("a", clock)
     for other in found:
-        fresh.fleet.introduce(other.fleet.card)
+        fresh.fleet.add_registered(other.fleet.own_info)
     assert fresh.shifts.part(MOVE) == found[0].shifts.part(MOVE) < MOVE.cap
 
 
@@ -104,7 +104,7 @@
     side = Side("a", clock)
     steps(clock, [side], 5)
     before = side.shifts.status()["move"]["fraction"]
-    side.endpoints.get("ep-south-a").own_open = 10
+    side.endpoints.get("ep-south-a").own_in_flight = 10
     steps(clock, [side], 2)
     status = side.shifts.status()["move"]
     assert status["fraction"] <= before / 4
@@ -116,7 +116,7 @@
     side = Side("a", clock)
     steps(clock, [side], 5)
     before = side.shifts.status()["move"]["fraction"]
-    side.endpoints.get("ep-south-a").note_slowness(4.0, clock.now + 1.0, own=True)
+    side.endpoints.get("ep-south-a").record_slowness(4.0, clock.now + 1.0, own=True)
     steps(clock, [side], 1)
     assert side.shifts.status()["move"]["fraction"] == before / 2
 
--- a/quetzalwall/process/limits/traffic_shifts.py
+++ b/quetzalwall/process/limits/traffic_shifts.py
@@ -139,7 +139,7 @@
         """
         for progress in self._progress.values():
             shift = progress.shift
-            if shift.service != service or shift.source != self._fleet.card.region:
+            if shift.service != service or shift.source != self._fleet.own_info.region:
                 continue
             if not shift.running or self._rng.random() >= progress.fraction:
                 continue
@@ -159,10 +159,10 @@
         -------
         int
         """
-        if shift.source != self._fleet.card.region:
+        if shift.source != self._fleet.own_info.region:
             return 0
         names = self._fleet.names(shift.source)
-        return even_share(shift.cap, shift.name, self._fleet.card.name, names)
+        return even_share(shift.cap, shift.name, self._fleet.own_info.name, names)
 
     def record_move(self, progress, now):
         """Count one request as moved.
@@ -183,11 +183,11 @@
             shift = progress.shift
             states = [
                 state
-                for state in self._endpoints.of_service(shift.service)
+                for state in self._endpoints.routable_endpoints(shift.service)
                 if state.region == shift.to
             ]
             slots = sum(state.entry.slots for state in states)
-            used = sum(min(state.open(), state.entry.slots) for state in states)
+            used = sum(min(state.in_flight(), state.entry.slots) for state in states)
             headroom = 1 - used / slots if slots else 0.0
             slowness = [state.slowness(now) for state in states]
             mean = sum(slowness) / len(slowness) if slowness else 1.0
--- a/quetzalwall/process/registration.py
+++ b/quetzalwall/process/registration.py
@@ -6,7 +6,7 @@
 from quetzalwall.exceptions import StoreError
 from quetzalwall.logs import describe_failure, get_logger, log_event
 from quetzalwall.platform.rows import INSTANCES_TABLE
-from quetzalwall.process.knowledge.peer_report import PeerCard
+from quetzalwall.process.cluster.peer_report import PeerInfo
 
 __all__ = ["register", "unregister"]
 
@@ -26,10 +26,10 @@
     fleet : Fleet
         The other instances, and who this one is.
     """
-    card = msgspec.json.encode(fleet.card)
+    info = msgspec.json.encode(fleet.own_info)
     while True:
         try:
-            store.put(INSTANCES_TABLE, fleet.card.name, card)
+            store.put(INSTANCES_TABLE, fleet.own_info.name, info)
             for row in store.read(INSTANCES_TABLE).rows:
                 _introduce(fleet, row)
             return
@@ -51,13 +51,13 @@
         Tells who this instance is.
     """
     try:
-        store.put(INSTANCES_TABLE, fleet.card.name, None)
+        store.put(INSTANCES_TABLE, fleet.own_info.name, None)
     except StoreError as exc:
         log_event(LOG, "not-unregistered", "warning", reason=exc.message)
 
 
 def _introduce(fleet, row):
     try:
-        fleet.introduce(msgspec.json.decode(row.value, type=PeerCard))
+        fleet.add_registered(msgspec.json.decode(row.value, type=PeerInfo))
     except (msgspec.DecodeError, RecursionError) as exc:
         log_event(LOG, "bad-instance", "warning", row=row.key, reason=str(exc))
--- a/quetzalwall/process/status.py
+++ b/quetzalwall/process/status.py
@@ -15,7 +15,7 @@
     -------
     dict
     """
-    cfg = front.knowledge.configuration()
+    cfg = front.cluster_state.configuration()
     port = front.settings.listen.lookup[1]
     return {
         "instance": front.settings.instance,
@@ -24,8 +24,10 @@
         "version_in_force": cfg.version if cfg else 0,
         "requests": front.in_flight,
         "stopping": front.stopping,
-        "instances": {card.name: f"{card.host}:{port}" for card in front.fleet.cards()},
-        "live": sorted(card.name for card in front.fleet.live()),
+        "instances": {
+            info.name: f"{info.host}:{port}" for info in front.fleet.members()
+        },
+        "live": sorted(info.name for info in front.fleet.live()),
         "services": _services(front),
         "shifts": front.limits.shifts.status(),
     }
@@ -40,7 +42,7 @@
         row = regions.setdefault(
             state.region, {"open": 0, "slots": 0, "leaving": 0, "avoided": []}
         )
-        row["open"] += state.open()
+        row["open"] += state.in_flight()
         if not state.usable():
             row["leaving"] += 1
             continue
--- a/quetzalwall/process/storage/settings_admin.py
+++ b/quetzalwall/process/storage/settings_admin.py
@@ -20,7 +20,7 @@
 
     Parameters
     ----------
-    knowledge : Knowledge
+    cluster_state : ClusterState
         Holds the tree in force.
     table : StoreTable
         Rows of the store.
@@ -28,8 +28,8 @@
         Source of time.
     """
 
-    def __init__(self, knowledge, table, clock):
-        self._knowledge = knowledge
+    def __init__(self, cluster_state, table, clock):
+        self._cluster_state = cluster_state
         self._table = table
         self._clock = clock
 
@@ -41,7 +41,7 @@
         dict
             With ``version``, ``teams`` (versions) and ``tree``.
         """
-        held = self._knowledge.tree
+        held = self._cluster_state.tree
         if held is None:
             return {"version": 0, "teams": {}, "tree": {}}
         return {
@@ -115,7 +115,7 @@
         return hmac.compare_digest(digest, known)
 
     def _tree(self):
-        return self._knowledge.tree.tree if self._knowledge.tree else {}
+        return self._cluster_state.tree.tree if self._cluster_state.tree else {}
 
     def _keep_credentials(self, team, subtree):
         """Return a subtree with its hidden credentials, which `show` leaves out."""
@@ -151,16 +151,16 @@
     return None
 
 
-def create_settings_admin(knowledge, table, clock):
+def create_settings_admin(cluster_state, table, clock):
     """Return the commands of an instance.
 
     Parameters
     ----------
-    knowledge, table, clock
+    cluster_state, table, clock
         As of `SettingsAdmin`.
 
     Returns
     -------
     SettingsAdmin
     """
-    return SettingsAdmin(knowledge, table, clock)
+    return SettingsAdmin(cluster_state, table, clock)
--- a/quetzalwall/process/tests/test_cut_answers.py
+++ b/quetzalwall/process/tests/test_cut_answers.py
@@ -63,7 +63,7 @@
     def ask(self, *pieces, method="GET", target="/look/1"):
         """Return all bytes that a caller gets while the endpoint sends these."""
         self.pieces = pieces
-        self._state.note_success()  # it is not to be avoided
+        self._state.record_success()  # it is not to be avoided
         place = (self._site.fronts[0].settings.address, self._site.ports[0])
         sock = gevent.socket.create_connection(place)
         head = f"{method} {target} HTTP/1.1\r\nHost: {HOST}\r\n{NAME}"
--- a/quetzalwall/process/tests/test_descriptors.py
+++ b/quetzalwall/process/tests/test_descriptors.py
@@ -98,7 +98,7 @@
 def test_what_finds_no_connection_left_is_refused_at_once():
     with running_site(work_s=1.0) as site, ExitStack() as stack:
         front = start_front(stack, site, 1, connections=FILE_DESCRIPTORS + 20)
-        wait_for(front.knowledge.ready)
+        wait_for(front.cluster_state.ready)
         place = front.settings.address, site.ports[0]
         most = front.endpoints.connections.most
         at_work = [gevent.spawn(call, *place, f"/look/{n}") for n in range(most)]
--- a/quetzalwall/process/tests/test_endless_callers.py
+++ b/quetzalwall/process/tests/test_endless_callers.py
@@ -53,6 +53,6 @@
             sender.wait()
         held_s, grown = beat.stop()
         assert site.get("/look/1")[0] == 200
-        assert all(state.own_open == 0 for state in site.fronts[0].endpoints)
+        assert all(state.own_in_flight == 0 for state in site.fronts[0].endpoints)
     assert held_s < HELD_S, held_s
     assert grown < MOST_BYTES
--- a/quetzalwall/process/tests/test_front.py
+++ b/quetzalwall/process/tests/test_front.py
@@ -50,7 +50,7 @@
 def test_no_route_is_told_from_no_configuration():
     with running_site() as site:
         assert site.get("/none/1")[0] == 404
-        site.fronts[0].knowledge._cfg = None
+        site.fronts[0].cluster_state._cfg = None
         status, headers, _ = site.get("/look/1")
         assert status == 503 and 0 < float(headers["Retry-After"]) <= 1
 
@@ -72,7 +72,7 @@
     with running_site() as site:
         site.register(site.endpoints[0], state="draining")
         front = site.fronts[0]
-        wait_for(lambda: len(front.endpoints.of_service("desk")) == 1)
+        wait_for(lambda: len(front.endpoints.routable_endpoints("desk")) == 1)
         before = len(site.endpoints[0].arrivals)
         for _ in range(20):
             assert site.get("/look/1")[0] == 200
@@ -152,7 +152,7 @@
         rows = [route_row("look", "/look/", timeout="400ms")]
         site.write_config(config_body(2, rows))
         front = site.fronts[0]
-        wait_for(lambda: front.knowledge.configuration().version == 2)
+        wait_for(lambda: front.cluster_state.configuration().version == 2)
         began = time.monotonic()
         status, _, _ = site.get("/look/1", **{DEADLINE: "5000"})
         assert status == 504
@@ -212,7 +212,7 @@
         site.store.set_faults(down=True)
         seed = f"{site.fronts[0].settings.address}:{site.ports[2]}"
         front = start_front(stack, site, 1, seeds=[seed])
-        wait_for(front.knowledge.ready)
+        wait_for(front.cluster_state.ready)
         address = front.settings.address
         assert call(address, site.ports[0], "/look/1")[0] == 200
 
@@ -268,7 +268,7 @@
         client._connection_host, client._connection_port = silent.address
         client.close()
         client._closed = False
-        wait_for(lambda: watch.lost, 6.0)
+        wait_for(lambda: watch.last_call_failed, 6.0)
         assert site.get("/look/1")[0] == 200
     silent.stop(timeout=0)
 
@@ -281,8 +281,8 @@
         rows = [route_row("look", "/look/", split=split)]
         site.write_config(config_body(2, rows, ("desk", "spare")))
         front = site.fronts[0]
-        wait_for(lambda: front.knowledge.configuration().version == 2)
-        wait_for(lambda: front.endpoints.of_service("spare"))
+        wait_for(lambda: front.cluster_state.configuration().version == 2)
+        wait_for(lambda: front.endpoints.routable_endpoints("spare"))
         before = [len(endpoint.arrivals) for endpoint in site.endpoints]
         for _ in range(40):
             assert site.get("/look/1")[0] == 200
@@ -304,8 +304,8 @@
     with running_site() as site:
         rows = [route_row("look", "/look/", timeout="5s")]
         site.write_config(config_body(2, rows))
-        knowledge = site.fronts[0].knowledge
-        wait_for(lambda: knowledge.configuration().version == 2)
+        cluster_state = site.fronts[0].cluster_state
+        wait_for(lambda: cluster_state.configuration().version == 2)
         site.endpoints[0].behaviour["hang"] = True
         tasks = [
             gevent.spawn(site.get, f"/look/{n}", **{DEADLINE: "5000"}) for n in range(8)
@@ -340,7 +340,7 @@
         front = site.fronts[0]
         rows = [route_row("look", "/look/", timeout="5s")]
         site.write_config(config_body(2, rows))
-        wait_for(lambda: front.knowledge.configuration().version == 2)
+        wait_for(lambda: front.cluster_state.configuration().version == 2)
         if why == "no other endpoint":
             site.endpoints[1].behaviour["shed"] = True
             site.register(site.endpoints[1], state="draining")
--- a/quetzalwall/process/tests/test_late_configuration.py
+++ b/quetzalwall/process/tests/test_late_configuration.py
@@ -5,7 +5,7 @@
 
 import gevent
 
-from quetzalwall.process.knowledge.readers import follows_store
+from quetzalwall.process.cluster.store_readers import follows_store
 from quetzalwall.tests.platform_fixtures import (
     config_body,
     own_address,
@@ -39,14 +39,14 @@
         self.in_force = [{} for _ in fronts]
         self.store_site = store_site
         for front, seen in zip(fronts, self.in_force, strict=True):
-            self._watch(front.knowledge, seen)
+            self._watch(front.cluster_state, seen)
 
-    def _watch(self, knowledge, seen):
-        def note(cfg, before=knowledge.on_configuration):
+    def _watch(self, cluster_state, seen):
+        def note(cfg, before=cluster_state.on_configuration):
             seen[cfg.version] = time.monotonic()
             before(cfg)
 
-        knowledge.on_configuration = note
+        cluster_state.on_configuration = note
 
     def change(self):
         version = len(self.accepted) + 2
@@ -93,7 +93,7 @@
             fronts.append(start_front(stack, site, number, store=place))
             proxies.append(proxy)
         for front in fronts:
-            wait_for(front.knowledge.ready)
+            wait_for(front.cluster_state.ready)
         wait_for(lambda: all(len(f.fleet.live()) == count for f in fronts))
         yield Watched(site, fronts, proxies)
 
--- a/quetzalwall/process/tests/test_leaving_endpoints.py
+++ b/quetzalwall/process/tests/test_leaving_endpoints.py
@@ -8,7 +8,7 @@
 
 
 def usable(front):
-    return [state.name for state in front.endpoints.of_service("desk")]
+    return [state.name for state in front.endpoints.routable_endpoints("desk")]
 
 
 def tell(site, news):
--- a/quetzalwall/process/tests/test_listeners.py
+++ b/quetzalwall/process/tests/test_listeners.py
@@ -31,7 +31,7 @@
         address = own_address(1)
         with socket.create_server((address, site.ports[METRICS])):
             front = start_front(stack, site, 1)
-            wait_for(front.knowledge.ready)
+            wait_for(front.cluster_state.ready)
             assert call(address, site.ports[CALLERS], "/look/1")[0] == 200
             status, _, text = call(address, site.ports[HEALTH], "/metrics")
             assert status == 200 and b"quetzalwall_in_flight" in text
@@ -51,7 +51,7 @@
         taken = socket.create_server((address, site.ports[CALLERS]))
         gevent.spawn_later(0.7, taken.close)
         front = start_front(stack, site, 1)
-        wait_for(front.knowledge.ready)
+        wait_for(front.cluster_state.ready)
         assert call(address, site.ports[CALLERS], "/look/1")[0] == 200
 
 
@@ -112,7 +112,7 @@
 def start_crowded(stack, site):
     """Start an instance that may have two callers; return it and where it listens."""
     front = start_front(stack, site, 1, connections=FILE_DESCRIPTORS + 4)
-    wait_for(front.knowledge.ready)
+    wait_for(front.cluster_state.ready)
     return front, (front.settings.address, site.ports[CALLERS])
 
 
--- a/quetzalwall/process/tests/test_look_ups_at_scale.py
+++ b/quetzalwall/process/tests/test_look_ups_at_scale.py
@@ -7,8 +7,8 @@
 from urllib.parse import urlencode
 
 from quetzalwall.platform.settings import Bounds
+from quetzalwall.process.cluster.peer_report import PeerInfo
 from quetzalwall.process.front_interfaces import _lookup
-from quetzalwall.process.knowledge.peer_report import PeerCard
 
 NEAR = 100  # instances of the caller's region, of about 300
 MOST_ADDRESSES = 64  # that an answer may hold
@@ -35,7 +35,7 @@
 
 # At scale: an answer held all 100 instances of the region, beyond what callers take.
 def test_an_answer_holds_no_more_addresses_than_callers_take():
-    cards = [PeerCard(f"i-{n}", "north", "a", f"10.0.0.{n}") for n in range(NEAR)]
+    cards = [PeerInfo(f"i-{n}", "north", "a", f"10.0.0.{n}") for n in range(NEAR)]
     front = front_of(cards)
     counts = Counter()
     for _ in range(LOOK_UPS):
@@ -48,5 +48,5 @@
 
 
 def test_all_instances_of_a_region_are_named_where_they_fit():
-    cards = [PeerCard(f"i-{n}", "north", "a", f"10.0.0.{n}") for n in range(64)]
+    cards = [PeerInfo(f"i-{n}", "north", "a", f"10.0.0.{n}") for n in range(64)]
     assert len(set(look_up(front_of(cards)))) == MOST_ADDRESSES
--- a/quetzalwall/process/tests/test_named_limits.py
+++ b/quetzalwall/process/tests/test_named_limits.py
@@ -51,7 +51,12 @@
                 assert most > 80
         # What does not fit goes to the endpoint that names none, at once.
         assert {answer[0] for answer in answers} == {200}
-        assert sum(state.named is not None for state in site.fronts[0].endpoints) == 2
+        assert (
+            sum(
+                state.advertised_limit is not None for state in site.fronts[0].endpoints
+            )
+            == 2
+        )
 
 
 def test_what_fits_nowhere_is_refused_at_once_and_told_when_to_come_back():
@@ -72,10 +77,14 @@
         endpoint.behaviour["limit"] = "0.5"
         surge(site, 1.0, 10.0)
         states = [front.endpoints.get(endpoint.name) for front in site.fronts]
-        wait_for(lambda: all(s.named and s.named.per_s == 0.5 for s in states))
+        wait_for(
+            lambda: all(
+                s.advertised_limit and s.advertised_limit.per_s == 0.5 for s in states
+            )
+        )
         endpoint.behaviour["limit"] = ""
         surge(site, 6.0, 5.0)
-        assert all(state.named.per_s is None for state in states)
+        assert all(state.advertised_limit.per_s is None for state in states)
         assert {answer[0] for answer in surge(site, 1.0, 20.0)} == {200}
 
 
@@ -86,4 +95,6 @@
         answers = surge(site, 1.0, 20.0)
         assert {answer[0] for answer in answers} == {200}
         assert not any("Server-Limit" in answer[1] for answer in answers)
-        assert all(s.named is None for front in site.fronts for s in front.endpoints)
+        assert all(
+            s.advertised_limit is None for front in site.fronts for s in front.endpoints
+        )
--- a/quetzalwall/process/tests/test_no_names.py
+++ b/quetzalwall/process/tests/test_no_names.py
@@ -57,7 +57,7 @@
         start.join(timeout=PROMPT_S)
         assert slow.asked == []
         assert start.ready()
-        wait_for(start.value.knowledge.ready, PROMPT_S)
+        wait_for(start.value.cluster_state.ready, PROMPT_S)
         assert slow.asked == []
 
 
--- a/quetzalwall/process/tests/test_odd_entries.py
+++ b/quetzalwall/process/tests/test_odd_entries.py
@@ -69,7 +69,7 @@
             assert front.endpoints.get("odd") is None
         assert {site.get("/look/x", n)[0] for n in (0, 1)} == {200}
         # One that starts later reads it among all, and it is told to others.
-        site.fronts[0].knowledge.export("servers")
+        site.fronts[0].cluster_state.export("servers")
 
 
 # The same: an entry that names no endpoint to use any more was left in use as it had
@@ -79,10 +79,10 @@
     with running_site(fronts=1, endpoints=2) as site:
         front, spoiled = site.fronts[0], site.endpoints[0]
         site.store.put("servers", spoiled.name, ODD[name])
-        wait_for(lambda: len(front.endpoints.of_service("desk")) == 1)
+        wait_for(lambda: len(front.endpoints.routable_endpoints("desk")) == 1)
         state = front.endpoints.get(spoiled.name)
         site.register(spoiled, seq=2)
-        wait_for(lambda: len(front.endpoints.of_service("desk")) == 2)
+        wait_for(lambda: len(front.endpoints.routable_endpoints("desk")) == 2)
         assert front.endpoints.get(spoiled.name) is state
         site.store.put("servers", spoiled.name, ODD[name])
         site.store.put("servers", spoiled.name, None)
@@ -93,12 +93,12 @@
 # round of the task that follows it, so that no later change came either.
 def test_a_configuration_with_a_number_too_large_is_refused_and_the_next_one_taken():
     with running_site() as site:
-        knowledge = site.fronts[0].knowledge
+        cluster_state = site.fronts[0].cluster_state
         row = {key[2]: value for key, value in site.store.rows.items()}["config"][0]
         cfg = msgspec.json.decode(row)
         text = json.dumps(cfg | {"version": "r2"}).replace("390", "1e400")
         site.store.put("op", "config", text.encode())
         gevent.sleep(0.6)
-        assert knowledge.configuration().version == 1
+        assert cluster_state.configuration().version == 1
         site.write_config(cfg | {"version": "r3"})
-        wait_for(lambda: knowledge.configuration().version == 3)
+        wait_for(lambda: cluster_state.configuration().version == 3)
--- a/quetzalwall/process/tests/test_planned_stop.py
+++ b/quetzalwall/process/tests/test_planned_stop.py
@@ -30,7 +30,7 @@
         row[5] = slo
     site.write_config(config_body(2, rows))
     front = site.fronts[0]
-    wait_for(lambda: front.knowledge.configuration().version == 2)
+    wait_for(lambda: front.cluster_state.configuration().version == 2)
     for endpoint in site.endpoints:
         site.register(endpoint, slots=endpoint.slots)
     slots = sum(endpoint.slots for endpoint in site.endpoints)
@@ -85,7 +85,7 @@
         front = site.fronts[0]
         rows = [route_row("book", "/book/", "unsafe", timeout="8s")]
         site.write_config(config_body(2, rows))
-        wait_for(lambda: front.knowledge.configuration().version == 2)
+        wait_for(lambda: front.cluster_state.configuration().version == 2)
         site.endpoints[0].behaviour["hang"] = True
         running = gevent.spawn(site.get, "/book/1", 0, "POST")
         gevent.sleep(0.2)
--- a/quetzalwall/process/tests/test_product.py
+++ b/quetzalwall/process/tests/test_product.py
@@ -88,7 +88,7 @@
             for path in ("/status/1", "/large/20"):
                 deployment.send("east-1", "GET", path)
         endpoints = deployment.fronts["east-1"].endpoints
-        assert [state.own_open for state in endpoints] == [0] * len(endpoints)
+        assert [state.own_in_flight for state in endpoints] == [0] * len(endpoints)
 
 
 def test_refusal_by_endpoints_is_retried_and_then_told_as_not_run():
@@ -244,7 +244,7 @@
         assert len(answer.body["faults"]) == 2
         refused = deployment.put("east-1", lambda s: None, 1, "wrong")
         assert refused.status == 403
-        assert deployment.fronts["east-1"].knowledge.configuration().version == 1
+        assert deployment.fronts["east-1"].cluster_state.configuration().version == 1
 
 
 def test_settings_written_by_others_with_faults_are_refused_and_the_old_ones_hold():
@@ -253,7 +253,7 @@
         head = {"version": 2, "teams": {"network": 1, "desk": 2}, "token": ""}
         deployment.store.put("settings", "config/head", json.dumps(head).encode())
         gevent.sleep(0.6)
-        assert deployment.fronts["east-1"].knowledge.configuration().version == 1
+        assert deployment.fronts["east-1"].cluster_state.configuration().version == 1
         assert deployment.send("east-1", "GET", "/status/1").status == 200
 
 
--- a/quetzalwall/process/tests/test_sessions.py
+++ b/quetzalwall/process/tests/test_sessions.py
@@ -190,7 +190,7 @@
 @golden
 def test_shed(session):
     for state in session.deployment.fronts["east-1"].endpoints:
-        state.own_open = 20
+        state.own_in_flight = 20
     session.say("all endpoints are full, and more requests wait there than may")
     session.send("GET", "/promotion/1")
     session.send("GET", "/status/1")
--- a/quetzalwall/process/tests/test_tasks.py
+++ b/quetzalwall/process/tests/test_tasks.py
@@ -1,7 +1,7 @@
 import gevent
 import msgspec
 
-from quetzalwall.process.knowledge.fleet import SILENT_AFTER_S
+from quetzalwall.process.cluster.fleet import UNRESPONSIVE_AFTER_S
 from quetzalwall.process.tasks import repeat
 from quetzalwall.tests.platform_fixtures import (
     config_body,
@@ -37,22 +37,22 @@
 
         front.fleet.receive = fail_once
         wait_for(lambda: front.fleet.receive is receive)
-        gevent.sleep(SILENT_AFTER_S + 0.5)
+        gevent.sleep(UNRESPONSIVE_AFTER_S + 0.5)
         assert len(front.fleet.live()) == 2
 
 
 def test_a_configuration_comes_into_force_after_an_unforeseen_failure():
     with running_site() as site:
-        knowledge = site.fronts[0].knowledge
-        apply = knowledge.apply
+        cluster_state = site.fronts[0].cluster_state
+        apply = cluster_state.apply
 
         def fail_once(*args):
-            knowledge.apply = apply
+            cluster_state.apply = apply
             raise RuntimeError("unforeseen")
 
-        knowledge.apply = fail_once
+        cluster_state.apply = fail_once
         site.write_config(config_body(2))
-        wait_for(lambda: knowledge.configuration().version == 2)
+        wait_for(lambda: cluster_state.configuration().version == 2)
 
 
 # An entry whose address no socket takes ended the task that follows all endpoints.
@@ -66,7 +66,7 @@
             site.store.put("servers", f"bad-{number}", msgspec.json.encode(body))
         site.write_config(config_body(2))
         front = site.fronts[0]
-        wait_for(lambda: front.knowledge.configuration().version == 2)
+        wait_for(lambda: front.cluster_state.configuration().version == 2)
         assert [state.name for state in front.endpoints] == ["ep-0"]
         for number in range(5):
             assert site.get(f"/look/{number}")[0] == 200
--- a/quetzalwall/request/endpoint_chooser.py
+++ b/quetzalwall/request/endpoint_chooser.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from quetzalwall.logs import get_logger, log_event
-from quetzalwall.process.knowledge.endpoint_table import HOLDERS
+from quetzalwall.process.cluster.endpoint_table import ENDPOINTS_PER_OBJECT
 from quetzalwall.process.limits.share import even_share
 from quetzalwall.request.choice import STOPPING, Choice, Rejection
 from quetzalwall.request.few import few_of
@@ -72,7 +72,7 @@
         self._cold_pacing = cold_pacing
         self._fleet = fleet
         self._rng = rng
-        self._region = fleet.card.region
+        self._region = fleet.own_info.region
         self._waits_of = None
         self._waits = {}
 
@@ -117,8 +117,8 @@
         """
         order = {}
         if object_key is not None:
-            order = self._endpoints.order(service, object_key)
-        states = self._endpoints.of_service(service)
+            order = self._endpoints.preferred_ranks(service, object_key)
+        states = self._endpoints.routable_endpoints(service)
         few = self._few_of(states, order, region, object_key)
         candidates = self._candidates(cfg, route, service, now, tried, few, region)
         if not candidates and few is not states:
@@ -130,7 +130,7 @@
         costs = self._costs(route, service, candidates)
         best, least_key, ranks = None, math.inf, order.get
         for state in candidates:
-            rank = ranks(state.name, HOLDERS)
+            rank = ranks(state.name, ENDPOINTS_PER_OBJECT)
             found = self._expect(costs, state, rank, object_key, now)
             if found[0] < least_key:
                 best, least_key = (state, rank, *found[1:]), found[0]
@@ -146,23 +146,23 @@
             return refusal
         if choice.state.cold(now):
             self._cold_pacing.record_request(choice.state.name, now)
-        if choice.state.named is not None:
-            choice.state.named.want(now)
-            choice.state.named.take(now)
+        if choice.state.advertised_limit is not None:
+            choice.state.advertised_limit.record_demand(now)
+            choice.state.advertised_limit.record_sent(now)
         return choice
 
     def _limit_allows(self, state, now):
         """Return whether the limit that an endpoint names leaves room here."""
-        if state.named is None:
+        if state.advertised_limit is None:
             return True
-        own, names = self._fleet.card.name, self._fleet.names()
-        return state.named.allows(state.name, own, names, now)
+        own, names = self._fleet.own_info.name, self._fleet.names()
+        return state.advertised_limit.allows(state.name, own, names, now)
 
     def _within_limits(self, costs, candidates, ranks, object_key, now):
         """Return the nearest endpoint whose limit leaves room, or a refusal."""
         ranked = []
         for state in candidates:
-            rank = ranks(state.name, HOLDERS)
+            rank = ranks(state.name, ENDPOINTS_PER_OBJECT)
             found = self._expect(costs, state, rank, object_key, now)
             ranked.append((found[0], state, rank, found[1:]))
         ranked.sort(key=itemgetter(0))
@@ -171,8 +171,8 @@
             if self._limit_allows(state, now):
                 return Choice(state, rank, *figures, len(candidates), passed)
             # What is sent elsewhere counts as wanted: parts go by it.
-            state.named.want(now)
-            wait_s = min(wait_s, state.named.wait_s(now))
+            state.advertised_limit.record_demand(now)
+            wait_s = min(wait_s, state.advertised_limit.wait_s(now))
         return Rejection("limited", _retry_after_s(wait_s))
 
     def fits(self, route, choice, left_s, stop_s):
@@ -217,12 +217,12 @@
         It runs for each endpoint and request, so that it takes what is the same for
         all endpoints from `costs`.
         """
-        depth = state.depth(object_key)
+        depth = state.reuse_distance(object_key)
         held = depth is not None and depth < costs.kept
         slowness = state.slowness(now)
         if now < state.cold_until:
             slowness *= COLD_RATIO
-        ahead, slots = state.own_open + state.peer_open, state.entry.slots
+        ahead, slots = state.own_in_flight + state.peer_in_flight, state.entry.slots
         queue_s = 0.0
         if ahead + 1 > FREE_PART * slots:
             queue_s = slowness * wait_s(slots, ahead, costs.hold_s, FREE_PART)
@@ -233,11 +233,13 @@
             way_s *= 2  # a new connection takes a round trip of its own
         expected_s = way_s + queue_s + work_s
         far_s = expected_s + costs.slot_part * work_s + self._rng.random() * SPREAD_S
-        if rank < HOLDERS:
-            far_s -= costs.settle_s * (HOLDERS - rank) / HOLDERS
+        if rank < ENDPOINTS_PER_OBJECT:
+            far_s -= (
+                costs.settle_s * (ENDPOINTS_PER_OBJECT - rank) / ENDPOINTS_PER_OBJECT
+            )
         if state.region != self._region:
             far_s += FAR_S
-        if not ahead and state.untried():
+        if not ahead and state.served_no_objects():
             far_s -= UNTRIED_S
         if not connected:
             far_s += CONNECT_S
@@ -252,7 +254,7 @@
             return Rejection("too late", retry_after_s)
         if best.queueing_delay_s > self._longest_wait_s(cfg, route, service):
             return Rejection("overload", retry_after_s)
-        if best.state.open() >= FULL_RATIO * best.state.entry.slots:
+        if best.state.in_flight() >= FULL_RATIO * best.state.entry.slots:
             return Rejection("full", retry_after_s)
         return None
 
@@ -300,7 +302,7 @@
         -------
         bool
         """
-        if state.avoided_as_silent(now):
+        if state.avoided_as_unresponsive(now):
             return True
         if state.avoided(now):
             return False
@@ -318,8 +320,8 @@
         full = set()
         for region, limit in service.region_limits:
             key = f"{service.name}/{region}"
-            part = even_share(limit, key, self._fleet.card.name, names)
-            if self._endpoints.own_open(service.name, region) >= part:
+            part = even_share(limit, key, self._fleet.own_info.name, names)
+            if self._endpoints.own_in_flight(service.name, region) >= part:
                 full.add(region)
         return full
 
@@ -353,10 +355,10 @@
     """Return whether an endpoint is avoided, or from now on, since it is silent."""
     if state.avoided(now):
         return True
-    silent_s = state.silent_s(now)
+    silent_s = state.unresponsive_s(now)
     if silent_s <= limit_s:
         return False
-    state.note_silent(now)
+    state.record_unresponsive(now)
     log_event(
         LOG,
         "avoided",
@@ -364,8 +366,8 @@
         endpoint=state.name,
         reason="silent",
         silent_s=silent_s,
-        own=state.own_open,
-        peers=state.peer_open,
+        own=state.own_in_flight,
+        peers=state.peer_in_flight,
     )
     return True
 
@@ -373,7 +375,7 @@
 def _crowding(candidates):
     """Return how far a service's slots are in use; 0 up to half of them."""
     slots = sum(state.entry.slots for state in candidates)
-    used = sum(state.open() for state in candidates)
+    used = sum(state.in_flight() for state in candidates)
     return max(0.0, used / slots - CROWDED_FROM)
 
 
--- a/quetzalwall/request/few.py
+++ b/quetzalwall/request/few.py
@@ -37,7 +37,7 @@
         return states
     near = [state for state in states if state.region == region]
     far = [state for state in states if state.region != region]
-    known = [s for s in states if object_key in s.objects or s.client.idle]
+    known = [s for s in states if object_key in s.recent_objects or s.client.idle]
     # What one side lacks, the other makes up for.
     most = FEW_NEAR + FEW_FAR
     take_far = min(len(far), max(FEW_FAR, most - len(near)))
--- a/quetzalwall/request/lookup.py
+++ b/quetzalwall/request/lookup.py
@@ -12,7 +12,7 @@
 
     Parameters
     ----------
-    cards : sequence of PeerCard
+    cards : sequence of PeerInfo
         Live instances that are not leaving.
     region : str
         Region nearest to the caller.
@@ -23,7 +23,7 @@
 
     Returns
     -------
-    list of PeerCard
+    list of PeerInfo
         Those of the region first, in rendezvous order. The last place goes to another
         failure domain than the first one's, if there is any.
 
@@ -34,13 +34,13 @@
     """
     order = sorted(
         cards,
-        key=lambda card: (
-            card.region != region,
-            xxhash.xxh64_intdigest(f"{caller} {card.name}".encode()),
+        key=lambda info: (
+            info.region != region,
+            xxhash.xxh64_intdigest(f"{caller} {info.name}".encode()),
         ),
     )
     chosen = order[:count]
-    domains = {card.domain for card in chosen}
+    domains = {info.domain for info in chosen}
     if len(domains) == 1 and len(order) > count > 1:
         other = next((c for c in order if c.domain not in domains), None)
         if other is not None:
@@ -56,7 +56,7 @@
 
     Parameters
     ----------
-    cards : sequence of PeerCard
+    cards : sequence of PeerInfo
         Instances that may be named.
     count : int
         Instances at most.
@@ -65,15 +65,15 @@
 
     Returns
     -------
-    list of PeerCard
+    list of PeerInfo
         All of them if there are no more than ``count``, or if no link is narrow.
     """
-    weights = [min(ENOUGH_MBPS, card.link_mbps) for card in cards]
+    weights = [min(ENOUGH_MBPS, info.link_mbps) for info in cards]
     if len(cards) <= count or min(weights) == max(weights):
         return list(cards)
     keyed = [
-        (rng.random() ** (1.0 / weight), card)
-        for weight, card in zip(weights, cards, strict=True)
+        (rng.random() ** (1.0 / weight), info)
+        for weight, info in zip(weights, cards, strict=True)
     ]
     keyed.sort(key=lambda pair: pair[0], reverse=True)
-    return [card for _, card in keyed[:count]]
+    return [info for _, info in keyed[:count]]
--- a/quetzalwall/request/note_limit.py
+++ b/quetzalwall/request/note_limit.py
@@ -1,8 +1,8 @@
 """What an answer says of the rate that its endpoint takes."""
 
 from quetzalwall.logs import get_logger, log_event
-from quetzalwall.process.knowledge.named_limit import NamedLimit
-from quetzalwall.process.knowledge.named_limit_log import log_change
+from quetzalwall.process.cluster.advertised_limit import AdvertisedLimit
+from quetzalwall.process.cluster.advertised_limit_log import log_limit_change
 
 __all__ = ["note_limit"]
 
@@ -21,15 +21,15 @@
     now : float
         Monotonic seconds.
     """
-    if facts.odd_limit and facts.odd_limit != state.odd_limit:
+    if facts.odd_limit and facts.odd_limit != state.malformed_limit:
         log_event(
             LOG, "odd-limit", "warning", endpoint=state.name, value=facts.odd_limit
         )
-    state.odd_limit = facts.odd_limit
-    if state.named is None:
+    state.malformed_limit = facts.odd_limit
+    if state.advertised_limit is None:
         if facts.limit_per_s is None:
             return
-        state.named = NamedLimit(now)
-    before = state.named.per_s
-    state.named.note_answer(facts.limit_per_s, now)
-    log_change(state, before, "answer", now)
+        state.advertised_limit = AdvertisedLimit(now)
+    before = state.advertised_limit.per_s
+    state.advertised_limit.record_response(facts.limit_per_s, now)
+    log_limit_change(state, before, "answer", now)
--- a/quetzalwall/request/request_server.py
+++ b/quetzalwall/request/request_server.py
@@ -49,7 +49,7 @@
     ----------
     dialect : Dialect
         How callers and endpoints speak.
-    knowledge : Knowledge
+    cluster_state : ClusterState
         Configuration, endpoints and fleet.
     chooser : Chooser
         Chooses endpoints.
@@ -71,7 +71,7 @@
     def __init__(
         self,
         dialect,
-        knowledge,
+        cluster_state,
         chooser,
         latency,
         limits,
@@ -83,7 +83,7 @@
         self._grace = grace
         self._dialect = dialect
         self._claims = claims
-        self._knowledge = knowledge
+        self._cluster_state = cluster_state
         self._chooser = chooser
         self._latency = latency
         self._limits = limits
@@ -157,7 +157,7 @@
         arrived = self._monotonic()
         facts = self._dialect.caller_facts(environ)
         host, target = self._dialect.place(environ)
-        cfg = self._knowledge.configuration()
+        cfg = self._cluster_state.configuration()
         if cfg is None:
             return self._refuse(
                 facts, "", "admission", "no configuration", UNREADY_RETRY_S
@@ -232,7 +232,7 @@
         one may be at work.
         """
         now = self._monotonic()
-        instances = self._knowledge.fleet.size()
+        instances = self._cluster_state.fleet.size()
         if self._grace.stopping or req.deadline - now < LEAST_USEFUL_S:
             return False
         if not self._chooser.is_unresponsive(state, now):
@@ -277,7 +277,7 @@
         check_caller(req)
         if isinstance(failure, NotSent):
             return True
-        instances = self._knowledge.fleet.size()
+        instances = self._cluster_state.fleet.size()
         return self._limits.retry_budget.try_acquire(req.service, now, instances)
 
     def _attempt(self, req, choice, hopeless):
@@ -296,7 +296,7 @@
             partial(self._check_wanted, req, choice),
         )
         opened = state.client.opened
-        state.own_open += 1
+        state.own_in_flight += 1
         try:
             answer, facts = state.client.exchange(exchange, deadline)
         except EndpointError as exc:
@@ -306,13 +306,13 @@
             note_unanswered(state, exc, self._monotonic())
             raise
         finally:
-            state.own_open -= 1
+            state.own_in_flight -= 1
         if state.client.opened > opened:
             self._latency.note_distance(state.region, state.client.connect_s)
         return self._judge(req, choice, answer, facts, began)
 
     def _check_wanted(self, req, choice):
-        endpoints, now = self._knowledge.endpoints, self._monotonic()
+        endpoints, now = self._cluster_state.endpoints, self._monotonic()
         check_wanted(req, choice, endpoints, self._chooser, self._grace, now)
 
     def _judge(self, req, choice, answer, facts, began):
@@ -320,24 +320,24 @@
         now = self._monotonic()
         state = choice.state
         if facts.load is not None:
-            state.note_slowness(facts.load[3], now, own=True)
+            state.record_slowness(facts.load[3], now, own=True)
         note_limit(state, facts, now)
         if facts.misdirected:
             state.wrong_address = True
             raise NotRun("another endpoint has the address", "match", state.name)
         if facts.not_run:
-            state.note_shed(now)
+            state.record_shed(now)
             raise NotRun(f"status {answer.status}", "endpoint", state.name)
         kept = facts.sound and (req.route.idempotent or not facts.promise)
         if answer.status >= FIRST_FAILURE or not kept:
-            state.note_failure(now)
+            state.record_failure(now)
         else:
-            state.note_success()
+            state.record_success()
         if not kept:
             raise IncompleteAnswer(f"status {answer.status}", "answer", state.name)
         if req.object_key is not None:
-            state.note_held(req.object_key)
-            self._knowledge.fleet.note_held(state.name, req.object_key)
+            state.record_cached(req.object_key)
+            self._cluster_state.fleet.announce_cached(state.name, req.object_key)
         if choice.queueing_delay_s == 0 and not state.cold(now):
             way_s = self._latency.round_trip_s(state.region)
             seconds = max(0.001, now - began - way_s) / choice.slowness
@@ -378,13 +378,13 @@
 
 
 def create_request_server(
-    dialect, knowledge, chooser, latency, limits, claims, metrics, grace, monotonic
+    dialect, cluster_state, chooser, latency, limits, claims, metrics, grace, monotonic
 ):
     """Return the server of callers' requests.
 
     Parameters
     ----------
-    dialect, knowledge, chooser, latency, limits, claims, metrics, grace, monotonic
+    dialect, cluster_state, chooser, latency, limits, claims, metrics, grace, monotonic
         As of `RequestServer`.
 
     Returns
@@ -393,7 +393,7 @@
     """
     return RequestServer(
         dialect,
-        knowledge,
+        cluster_state,
         chooser,
         latency,
         limits,
--- a/quetzalwall/request/still_wanted.py
+++ b/quetzalwall/request/still_wanted.py
@@ -53,7 +53,7 @@
     """
     check_caller(req)
     name = choice.state.name
-    if not endpoints.takes(choice.state):
+    if not endpoints.is_routable(choice.state):
         raise NotSent("the endpoint leaves", "admission", name)
     if not chooser.fits(req.route, choice, req.deadline - now, grace.end - now):
         raise NotSent(STOPPING.reason, "admission", name)
--- a/quetzalwall/request/tests/test_choices_at_scale.py
+++ b/quetzalwall/request/tests/test_choices_at_scale.py
@@ -8,9 +8,9 @@
 from quetzalwall.platform.headers import answer_facts
 from quetzalwall.platform.rows import decode_configuration
 from quetzalwall.platform.settings import Bounds
-from quetzalwall.process.knowledge.endpoint_table import create_endpoint_table
-from quetzalwall.process.knowledge.fleet import create_fleet
-from quetzalwall.process.knowledge.peer_report import PeerCard
+from quetzalwall.process.cluster.endpoint_table import create_endpoint_table
+from quetzalwall.process.cluster.fleet import create_fleet
+from quetzalwall.process.cluster.peer_report import PeerInfo
 from quetzalwall.process.limits.cold_start_limiter import create_cold_start_limiter
 from quetzalwall.request.endpoint_chooser import create_chooser
 from quetzalwall.request.latency_model import create_latency_model
@@ -37,11 +37,11 @@
             f"ep-{n}", "desk", *place, "abc"[n % 3], 6, False, cold_s, 0
         )
         table.put(entry)
-    card = PeerCard("front-0", "north", "a", "127.0.0.1")
-    fleet = create_fleet(card, 1, table, clock.monotonic, 7)
+    info = PeerInfo("front-0", "north", "a", "127.0.0.1")
+    fleet = create_fleet(info, 1, table, clock.monotonic, 7)
     for n in range(1, instances):
-        fleet.introduce(PeerCard(f"front-{n}", "north", "a", "127.0.0.1"))
-    cold = create_cold_start_limiter(card.name, Bounds())
+        fleet.add_registered(PeerInfo(f"front-{n}", "north", "a", "127.0.0.1"))
+    cold = create_cold_start_limiter(info.name, Bounds())
     return create_chooser(table, create_latency_model("north"), cold, fleet, rng)
 
 
--- a/quetzalwall/request/tests/test_few.py
+++ b/quetzalwall/request/tests/test_few.py
@@ -15,13 +15,13 @@
 
 def loaded(chooser, rng):
     for state in chooser._endpoints:
-        state.peer_open = round(rng.gauss(9, 3))
+        state.peer_in_flight = round(rng.gauss(9, 3))
 
 
 # A service that is not large must lose nothing by what large ones need.
 def test_all_endpoints_of_a_service_that_is_not_large_are_weighed():
     chooser = chooser_of(30, MOST_WEIGHED, 0.0)
-    states = chooser._endpoints.of_service("desk")
+    states = chooser._endpoints.routable_endpoints("desk")
     assert few_of(states, [], "north", 1, random.Random(7)) is states
     assert choice_of(chooser, 1).of == MOST_WEIGHED
 
@@ -31,8 +31,8 @@
     chooser = chooser_of(30, COUNT, 0.0)
     for key in range(PLAYS):
         holder = chooser._endpoints.get(f"ep-{key}")
-        holder.note_held(key)
-        states = chooser._endpoints.of_service("desk")
+        holder.record_cached(key)
+        states = chooser._endpoints.routable_endpoints("desk")
         assert holder in few_of(states, [], "north", key, random.Random(key))
 
 
--- a/quetzalwall/request/unanswered.py
+++ b/quetzalwall/request/unanswered.py
@@ -23,5 +23,5 @@
     unconnected = isinstance(exc, NotConnected)
     if isinstance(exc, NotSent) and not unconnected:
         return  # the endpoint has no part in it
-    if state.note_failure(now, certain=unconnected):
+    if state.record_failure(now, certain=unconnected):
         log_event(LOG, "avoided", "warning", endpoint=state.name)
--- a/quetzalwall/tests/fixtures.py
+++ b/quetzalwall/tests/fixtures.py
@@ -155,8 +155,8 @@
     def wait_version(self, version):
         self.wait(
             lambda: all(
-                front.knowledge.ready()
-                and front.knowledge.configuration().version >= version
+                front.cluster_state.ready()
+                and front.cluster_state.configuration().version >= version
                 for front in self.fronts.values()
             )
         )
--- a/quetzalwall/tests/platform_fixtures.py
+++ b/quetzalwall/tests/platform_fixtures.py
@@ -219,7 +219,7 @@
         for number in range(fronts):
             site.fronts.append(start_front(stack, site, number))
         for front in site.fronts:
-            wait_for(front.knowledge.ready)
+            wait_for(front.cluster_state.ready)
         wait_for(lambda: all(len(f.fleet.live()) == fronts for f in site.fronts))
         yield site
 
