--- a/quetzalwall/cli/front_command.py
+++ b/quetzalwall/cli/front_command.py
@@ -12,7 +12,7 @@
     settings_path,
 )
 from quetzalwall.process.front import run_front
-from quetzalwall.process.memory_plan import usable_descriptors
+from quetzalwall.process.resource_budget import usable_descriptors
 
 __all__ = ["add_parser"]
 
--- a/quetzalwall/cli/tests/test_cli.py
+++ b/quetzalwall/cli/tests/test_cli.py
@@ -6,7 +6,7 @@
 import tempfile
 
 from quetzalwall.cli.main import main
-from quetzalwall.tests.fixtures import make_tree, small_deployment
+from quetzalwall.tests.product_fixtures import make_tree, small_deployment
 
 
 def run(*arguments):
@@ -29,7 +29,7 @@
 
 
 def place(deployment):
-    return "{}:{}".format(*deployment.place("east-1", "lookup"))
+    return "{}:{}".format(*deployment.listen_address("east-1", "lookup"))
 
 
 def test_check_names_every_fault_and_exits_with_2():
@@ -102,7 +102,7 @@
             assert (status, err.strip()) == (0, "version 1")
             subtree = json.loads(out)
             assert run("drain", "east-ep1", *team, *common)[0] == 0
-            deployment.wait_version(2)
+            deployment.wait_for_version(2)
             with file_with(subtree) as name:
                 put = ["settings", "put", *team, "--base", "1", name, *common]
                 status, out, err = run(*put)
@@ -115,7 +115,7 @@
             shift = ["shift", "start", "m", "--service", "desk", "--from", "east"]
             shift += ["--to", "west", "--fraction", "0.5", "--cap", "5"]
             assert run(*shift, *team, *common)[0] == 0
-            deployment.wait_version(3)
+            deployment.wait_for_version(3)
             status, out, _ = run("shift", "status", "--json", *common)
             assert json.loads(out)[0]["target"] == 0.5
             assert run("shift", "stop", "m", *team, *common)[0] == 0
--- a/quetzalwall/connection/tests/test_cut_calls.py
+++ b/quetzalwall/connection/tests/test_cut_calls.py
@@ -5,7 +5,7 @@
 
 from quetzalwall.connection.json_call import JsonAnswer, create_json_client
 from quetzalwall.exceptions import PeerError
-from quetzalwall.tests.fixtures import read_request, scripted_server
+from quetzalwall.tests.product_fixtures import read_request_head, scripted_server
 
 OK = b"HTTP/1.1 200 OK\r\n"
 FORMS = {
@@ -23,7 +23,7 @@
     left = list(raws)
 
     def handle(sock):
-        read_request(sock)
+        read_request_head(sock)
         for piece in left.pop(0):
             sock.sendall(piece)
             gevent.sleep(0)
@@ -60,7 +60,7 @@
 
     def handle(sock):
         opened.append(sock)
-        while read_request(sock):
+        while read_request_head(sock):
             sock.sendall(FORMS["length"] + more)
 
     with scripted_server(handle) as port:
@@ -73,7 +73,7 @@
 
 def test_an_answer_that_came_after_its_call_was_given_up_is_not_the_next_ones():
     def handle(sock):
-        while read_request(sock):
+        while read_request_head(sock):
             gevent.sleep(0.1)
             sock.sendall(FORMS["length"])
 
--- a/quetzalwall/connection/tests/test_endless_answers.py
+++ b/quetzalwall/connection/tests/test_endless_answers.py
@@ -11,7 +11,7 @@
 from quetzalwall.connection.json_call import create_json_client
 from quetzalwall.exceptions import IncompleteAnswer, OutcomeUnknown, PeerError
 from quetzalwall.platform.headers import answer_facts
-from quetzalwall.tests.platform_fixtures import Beat
+from quetzalwall.tests.platform_fixtures import LoopMonitor
 
 ID = "X-Quetzalwall-Request-Id"
 LIMIT_S = 1.5  # the deadline of each request
@@ -69,7 +69,7 @@
     with endless(pattern) as port:
         now = time.monotonic
         client = create_endpoint_client("ep", "127.0.0.1", port, answer_facts, now)
-        beat = Beat()
+        beat = LoopMonitor()
         req = Exchange("GET", "/x", {"Host": "h", ID: "a"}, b"", "a", True)
         began = now()
         try:
@@ -89,7 +89,7 @@
 def test_an_endless_answer_to_a_call_ends_with_its_timeout(pattern):
     with endless(pattern) as port:
         client = create_json_client("127.0.0.1", port, "peer", timeout_s=LIMIT_S)
-        beat = Beat()
+        beat = LoopMonitor()
         began = time.monotonic()
         try:
             client.call("GET", "/x")
--- a/quetzalwall/connection/tests/test_single_attempt.py
+++ b/quetzalwall/connection/tests/test_single_attempt.py
@@ -4,10 +4,10 @@
 from quetzalwall.connection.nodelay import NoDelayServer
 from quetzalwall.connection.single_attempt import SentRequest, create_client
 from quetzalwall.exceptions import NotRun, OutcomeUnknown
-from quetzalwall.tests.fixtures import (
-    echo_of,
+from quetzalwall.tests.product_fixtures import (
     free_port,
-    read_request,
+    parse_request_id,
+    read_request_head,
     scripted_server,
 )
 
@@ -15,7 +15,7 @@
 
 
 def answer(head, body):
-    return ANSWER % (len(body), echo_of(head).encode(), body)
+    return ANSWER % (len(body), parse_request_id(head).encode(), body)
 
 
 def get(client, request_id, timeout_s=1.0):
@@ -35,7 +35,7 @@
     heads = []
 
     def handle(sock):
-        heads.append(read_request(sock))
+        heads.append(read_request_head(sock))
 
     with scripted_server(handle) as port:
         client = create_client("127.0.0.1", port, "ep", size=4)
@@ -70,7 +70,7 @@
 
 def test_second_answer_in_the_same_segment_is_dropped():
     def handle(sock):
-        while head := read_request(sock):
+        while head := read_request_head(sock):
             sock.sendall(answer(head, b"mine") + answer(head, b"again"))
 
     with scripted_server(handle) as port:
@@ -81,9 +81,9 @@
 
 def test_late_second_answer_is_not_taken_for_the_next_request():
     def handle(sock):
-        head = read_request(sock)
+        head = read_request_head(sock)
         sock.sendall(answer(head, b"one"))
-        read_request(sock)
+        read_request_head(sock)
         sock.sendall(answer(head, b"one again"))
 
     with scripted_server(handle) as port:
@@ -99,8 +99,8 @@
     def handle_with(echo):
         def handle(sock):
             connections.append(sock)
-            while head := read_request(sock):
-                request_id = echo_of(head).encode() if echo else b""
+            while head := read_request_head(sock):
+                request_id = parse_request_id(head).encode() if echo else b""
                 sock.sendall(ANSWER % (1, request_id, b"x"))
 
         return handle
@@ -120,7 +120,7 @@
 
 def test_cut_answer_raises_instead_of_ending():
     def handle(sock):
-        head = read_request(sock)
+        head = read_request_head(sock)
         sock.sendall(answer(head, b"whole answer")[:-4])
 
     with scripted_server(handle) as port:
@@ -133,7 +133,7 @@
 
 def test_answer_sent_before_the_whole_request_was_read_is_returned():
     def handle(sock):
-        read_request(sock)
+        read_request_head(sock)
         sock.sendall(b"HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n")
         sock.shutdown(gevent.socket.SHUT_WR)
         gevent.sleep(0.2)
--- a/quetzalwall/platform/tests/test_odd_settings.py
+++ b/quetzalwall/platform/tests/test_odd_settings.py
@@ -3,7 +3,7 @@
 
 from quetzalwall.exceptions import SettingsError
 from quetzalwall.platform.settings import read_settings
-from quetzalwall.tests.daemon_fixture import STARTED_S, daemon
+from quetzalwall.tests.daemon_fixture import START_TIMEOUT_S, running_daemon
 from quetzalwall.tests.platform_fixtures import settings_body, write_settings
 
 PORTS = [1, 2, 3, 4, 5, 6]
@@ -78,12 +78,12 @@
 
 def test_a_running_instance_has_named_each_odd_value_in_a_warning():
     odd = {"link_mbps": "many", "bounds": {"grace": "long"}}
-    with daemon(odd) as process:
-        end = time.monotonic() + STARTED_S
+    with running_daemon(odd) as process:
+        end = time.monotonic() + START_TIMEOUT_S
         while not process.started() and process.process.poll() is None:
             assert time.monotonic() < end
             time.sleep(0.05)
-        said = process.said()
+        said = process.read_output()
     assert "event=started" in said, said
     for text in ("link_mbps", "many", "bounds/grace", "long"):
         assert text in said, said
--- a/quetzalwall/process/cluster/tests/test_bounded_knowledge.py
+++ b/quetzalwall/process/cluster/tests/test_bounded_knowledge.py
@@ -44,13 +44,13 @@
 def test_metrics_of_routes_that_are_gone_are_dropped():
     metrics = create_front_metrics()
     for n in range(50):
-        metrics.answered(f"r-{n}", "answered", 200, 0.1)
-        metrics.refused(f"r-{n}", "overload")
-    metrics.refused("", "no configuration")
-    metrics.failed("desk", "NotRun")
-    metrics.keep_routes({"r-1"})
+        metrics.record_finished(f"r-{n}", "answered", 200, 0.1)
+        metrics.record_rejection(f"r-{n}", "overload")
+    metrics.record_rejection("", "no configuration")
+    metrics.record_failed_attempt("desk", "NotRun")
+    metrics.prune_routes({"r-1"})
     text = metrics.render().decode()
     assert 'route="r-1"' in text and 'route="r-2"' not in text
     assert 'reason="no configuration"' in text and 'service="desk"' in text
-    metrics.answered("r-2", "answered", 200, 0.1)
+    metrics.record_finished("r-2", "answered", 200, 0.1)
     assert 'route="r-2"' in metrics.render().decode()
--- a/quetzalwall/process/cluster/tests/test_large_registry.py
+++ b/quetzalwall/process/cluster/tests/test_large_registry.py
@@ -12,10 +12,10 @@
 )
 from quetzalwall.process.cluster.fleet import create_fleet
 from quetzalwall.process.cluster.peer_report import PeerInfo
-from quetzalwall.process.self_watch import HELD_S
+from quetzalwall.process.self_watch import LOOP_LAG_LIMIT_S
 from quetzalwall.tests.platform_fixtures import (
     DOMAINS,
-    Beat,
+    LoopMonitor,
     ManualClock,
     config_body,
     entry_body,
@@ -46,7 +46,7 @@
 
 def held_s(cluster_state, rows, whole):
     """Return how long the event loop is held by rows that are taken over."""
-    beat = Beat()
+    beat = LoopMonitor()
     cluster_state.apply("servers", rows, whole, False)
     gevent.sleep(0.05)
     return beat.stop()[0]
@@ -55,21 +55,21 @@
 # "Its processes do not hand back the processor", report 3, at scale: each endpoint that
 # came was compared with all others and had the whole index made anew.
 def test_a_large_registry_does_not_hold_the_event_loop():
-    assert held_s(create(), rows_of(LARGE, 1, 1), True) < HELD_S
+    assert held_s(create(), rows_of(LARGE, 1, 1), True) < LOOP_LAG_LIMIT_S
 
 
 # The same when a release starts all endpoints anew.
 def test_endpoints_that_all_start_anew_do_not_hold_the_event_loop():
     cluster_state = create()
     cluster_state.apply("servers", rows_of(LARGE, 1, 1), True, False)
-    assert held_s(cluster_state, rows_of(LARGE, 2, 2), False) < HELD_S
+    assert held_s(cluster_state, rows_of(LARGE, 2, 2), False) < LOOP_LAG_LIMIT_S
 
 
 # The same when all are taken out of the registry.
 def test_endpoints_that_all_leave_do_not_hold_the_event_loop():
     cluster_state = create()
     cluster_state.apply("servers", rows_of(LARGE, 1, 1), True, False)
-    assert held_s(cluster_state, removals(LARGE, 2), False) < HELD_S
+    assert held_s(cluster_state, removals(LARGE, 2), False) < LOOP_LAG_LIMIT_S
 
 
 # Taken over in parts, a large registry must not serve requests by the first part of it.
--- a/quetzalwall/process/front.py
+++ b/quetzalwall/process/front.py
@@ -42,12 +42,12 @@
 from quetzalwall.process.limits.traffic_shifts import create_traffic_shifts
 from quetzalwall.process.limits.weighted_split import create_weighted_split
 from quetzalwall.process.listeners import open_in_background, open_listener
-from quetzalwall.process.memory_plan import (
+from quetzalwall.process.registration import register, unregister
+from quetzalwall.process.resource_budget import (
     create_held_bytes,
     most_connections,
     most_to_endpoints,
 )
-from quetzalwall.process.registration import register, unregister
 from quetzalwall.process.self_watch import PERIOD_S, create_self_watch
 from quetzalwall.process.storage.settings_admin import create_settings_admin
 from quetzalwall.process.storage.store_table import create_store_table
@@ -339,7 +339,7 @@
         self.limits.shifts.configure(cfg.shifts)
         routes = [route for routes in cfg.hosts.values() for route in routes]
         self.limits.split.prune({(route.name, route.split) for route in routes})
-        self.metrics.keep_routes({route.name for route in routes})
+        self.metrics.prune_routes({route.name for route in routes})
 
     def _check_settings(self):
         if _modified(self._settings_file) != self._settings_seen:
--- a/quetzalwall/process/front_interfaces.py
+++ b/quetzalwall/process/front_interfaces.py
@@ -17,7 +17,7 @@
     lookup_body,
     lookup_place,
 )
-from quetzalwall.process.memory_plan import most_connections
+from quetzalwall.process.resource_budget import most_connections
 from quetzalwall.process.status import instance_status
 from quetzalwall.request.lookup import order_instances, sample_by_bandwidth
 
--- a/quetzalwall/process/front_metrics.py
+++ b/quetzalwall/process/front_metrics.py
@@ -33,7 +33,7 @@
         self._gauges = {}
         self._children = {}
 
-    def answered(self, route, outcome, status, seconds):
+    def record_finished(self, route, outcome, status, seconds):
         """Count a request that has ended.
 
         Parameters
@@ -48,7 +48,7 @@
         self._child(self._answers, route, outcome, str(status)).inc()
         self._child(self._seconds, route).observe(seconds)
 
-    def refused(self, route, reason):
+    def record_rejection(self, route, reason):
         """Count a request that was refused before it was sent.
 
         Parameters
@@ -58,7 +58,7 @@
         """
         self._child(self._refusals, route, reason).inc()
 
-    def failed(self, service, kind):
+    def record_failed_attempt(self, service, kind):
         """Count an attempt that failed.
 
         Parameters
@@ -68,7 +68,7 @@
         """
         self._child(self._failures, service, kind).inc()
 
-    def sent_elsewhere(self, service):
+    def record_diversion(self, service):
         """Count a request that a nearer endpoint's limit left no room for.
 
         Parameters
@@ -78,7 +78,7 @@
         """
         self._child(self._elsewhere, service).inc()
 
-    def keep_routes(self, routes):
+    def prune_routes(self, routes):
         """Drop the figures of routes that are gone.
 
         Parameters
--- a/quetzalwall/process/self_watch.py
+++ b/quetzalwall/process/self_watch.py
@@ -7,7 +7,7 @@
 __all__ = ["SelfWatch", "create_self_watch", "resident_bytes"]
 
 PERIOD_S = 0.5  # between two looks
-HELD_S = 0.25  # beyond the period, a look counts as late
+LOOP_LAG_LIMIT_S = 0.25  # beyond the period, a look counts as late
 MEMORY_STEPS = 8  # of the machine's memory; each new one that is passed is logged
 STATM = "/proc/{}/statm"
 MB = 1_000_000
@@ -55,7 +55,7 @@
             return
         held_s = now - self._looked - PERIOD_S
         self.held_s = max(self.held_s, held_s)
-        if held_s > HELD_S:
+        if held_s > LOOP_LAG_LIMIT_S:
             log_event(LOG, "held-up", "warning", held_s=held_s, **self._usage())
 
     def _note_memory(self):
--- a/quetzalwall/process/tests/test_descriptors.py
+++ b/quetzalwall/process/tests/test_descriptors.py
@@ -11,8 +11,8 @@
 import gevent
 import gevent.socket
 
-from quetzalwall.process.memory_plan import FILE_DESCRIPTORS, most_connections
-from quetzalwall.tests.daemon_fixture import STARTED_S, daemon
+from quetzalwall.process.resource_budget import FILE_DESCRIPTORS, most_connections
+from quetzalwall.tests.daemon_fixture import START_TIMEOUT_S, running_daemon
 from quetzalwall.tests.platform_fixtures import (
     Site,
     call,
@@ -31,7 +31,7 @@
 WORK_S = 0.2
 BUSY_S = 3.0
 PLAN = """
-from quetzalwall.process.memory_plan import usable_descriptors
+from quetzalwall.process.resource_budget import usable_descriptors
 print(usable_descriptors(4096), usable_descriptors(250))
 """
 
@@ -79,8 +79,10 @@
         site = site_of(stack)
         host, port = site.store.server.address[:2]
         settings = {"memory_mb": MEMORY_MB, "connections": DESCRIPTORS}
-        run = stack.enter_context(daemon(settings | {"store": f"{host}:{port}"}))
-        wait_for(run.started, STARTED_S)
+        run = stack.enter_context(
+            running_daemon(settings | {"store": f"{host}:{port}"})
+        )
+        wait_for(run.started, START_TIMEOUT_S)
         until = time.monotonic() + BUSY_S
         callers = most_connections(MEMORY_MB, DESCRIPTORS, "callers")
         tasks = [gevent.spawn(keep_asking, run.callers, until) for _ in range(callers)]
--- a/quetzalwall/process/tests/test_endless_callers.py
+++ b/quetzalwall/process/tests/test_endless_callers.py
@@ -6,7 +6,7 @@
 import gevent
 from nose2.tools import params
 
-from quetzalwall.tests.platform_fixtures import HOST, Beat, running_site
+from quetzalwall.tests.platform_fixtures import HOST, LoopMonitor, running_site
 
 HELD_S = 0.25  # longest time for which the event loop may be held
 MOST_BYTES = 20_000_000
@@ -44,7 +44,7 @@
     with running_site(endpoints=1) as site:
         place = (site.fronts[0].settings.address, str(site.ports[0]))
         texts = [part.encode().hex() for part in ENDLESS[pattern]]
-        beat = Beat()
+        beat = LoopMonitor()
         sender = subprocess.Popen([sys.executable, "-c", SENDER, *place, *texts])
         try:
             gevent.sleep(SENDING_S)
--- a/quetzalwall/process/tests/test_listeners.py
+++ b/quetzalwall/process/tests/test_listeners.py
@@ -6,7 +6,7 @@
 
 from quetzalwall.exceptions import ListenError
 from quetzalwall.process import listeners
-from quetzalwall.process.memory_plan import (
+from quetzalwall.process.resource_budget import (
     CONNECTION_BYTES,
     FILE_DESCRIPTORS,
     MEMORY_PARTS,
--- a/quetzalwall/process/tests/test_many_routes.py
+++ b/quetzalwall/process/tests/test_many_routes.py
@@ -21,11 +21,11 @@
     metrics = create_front_metrics()
     routes = {f"route-{n}" for n in range(count)}
     for route in routes:
-        metrics.answered(route, "answered", 200, 0.1)
+        metrics.record_finished(route, "answered", 200, 0.1)
     took = []
     for _ in range(PLAYS):
         began = time.process_time()
-        metrics.keep_routes(routes)
+        metrics.prune_routes(routes)
         took.append(time.process_time() - began)
     return min(took)
 
--- a/quetzalwall/process/tests/test_memory.py
+++ b/quetzalwall/process/tests/test_memory.py
@@ -5,7 +5,7 @@
 import gevent.socket
 
 from quetzalwall.process.self_watch import resident_bytes
-from quetzalwall.tests.daemon_fixture import STARTED_S, daemon
+from quetzalwall.tests.daemon_fixture import START_TIMEOUT_S, running_daemon
 from quetzalwall.tests.platform_fixtures import HOST, wait_for
 
 MEMORY_MB = 90.0
@@ -45,8 +45,8 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, DESCRIPTORS), hard))
     try:
         settings = {"memory_mb": MEMORY_MB, "connections": DESCRIPTORS}
-        with daemon(settings) as run:
-            wait_for(run.started, STARTED_S)
+        with running_daemon(settings) as run:
+            wait_for(run.started, START_TIMEOUT_S)
             socks = open_callers(run.callers, CALLERS)
             try:
                 assert len(socks) > CALLERS / 10
--- a/quetzalwall/process/tests/test_no_names.py
+++ b/quetzalwall/process/tests/test_no_names.py
@@ -5,7 +5,7 @@
 
 import gevent
 
-from quetzalwall.tests.daemon_fixture import STARTED_S, daemon
+from quetzalwall.tests.daemon_fixture import START_TIMEOUT_S, running_daemon
 from quetzalwall.tests.platform_fixtures import (
     running_site,
     start_front,
@@ -64,8 +64,8 @@
 # Report 3: names were looked up in native threads, for the store as well; where none
 # can be had the process ended at its start, and with several cores they take turns.
 def test_a_daemon_runs_in_one_thread():
-    with daemon() as run:
-        wait_for(run.started, STARTED_S)
-        wait_for(lambda: "event=lost" in run.said(), STARTED_S)
+    with running_daemon() as run:
+        wait_for(run.started, START_TIMEOUT_S)
+        wait_for(lambda: "event=lost" in run.read_output(), START_TIMEOUT_S)
         threads = os.listdir(f"/proc/{run.process.pid}/task")
     assert len(threads) == 1
--- a/quetzalwall/process/tests/test_process.py
+++ b/quetzalwall/process/tests/test_process.py
@@ -5,7 +5,7 @@
 import gevent
 from nose2.tools import params
 
-from quetzalwall.tests.daemon_fixture import STARTED_S, daemon
+from quetzalwall.tests.daemon_fixture import START_TIMEOUT_S, running_daemon
 from quetzalwall.tests.platform_fixtures import wait_for
 
 # Stands in for a library: signals its own process, then loads the real one.
@@ -24,8 +24,10 @@
     with tempfile.TemporaryDirectory() as folder:
         with open(f"{folder}/{library}.py", "w") as file:
             file.write(SIGNALLING_LIBRARY.format(folder=folder, library=library))
-        with daemon(PYTHONPATH=folder) as run:
-            wait_for(lambda: run.started() or run.process.poll() is not None, STARTED_S)
+        with running_daemon(PYTHONPATH=folder) as run:
+            wait_for(
+                lambda: run.started() or run.process.poll() is not None, START_TIMEOUT_S
+            )
             gevent.sleep(0.1)
             assert run.process.poll() is None
 
@@ -34,8 +36,8 @@
     with tempfile.TemporaryDirectory() as folder:
         with open(f"{folder}/msgspec.py", "w") as file:
             file.write("raise ImportError('No module named msgspec._core')\n")
-        with daemon(PYTHONPATH=folder) as run:
-            assert run.process.wait(STARTED_S) == 1
-            said = run.said()
+        with running_daemon(PYTHONPATH=folder) as run:
+            assert run.process.wait(START_TIMEOUT_S) == 1
+            said = run.read_output()
     assert said.startswith("quetzalwall: a library is missing or does not work")
     assert said.count("\n") == 1 and "msgspec" in said
--- a/quetzalwall/process/tests/test_product.py
+++ b/quetzalwall/process/tests/test_product.py
@@ -6,7 +6,7 @@
 import gevent.socket
 
 from quetzalwall.connection.single_attempt import SentRequest, create_client
-from quetzalwall.tests.fixtures import row_of, small_deployment
+from quetzalwall.tests.product_fixtures import read_row, small_deployment
 
 
 def leave(*names):
@@ -68,7 +68,7 @@
 
 def test_upload_that_the_caller_cuts_does_not_run():
     with small_deployment(names=["east-1"]) as deployment:
-        sock = gevent.socket.create_connection(deployment.place("east-1"))
+        sock = gevent.socket.create_connection(deployment.listen_address("east-1"))
         head = (
             b"POST /s/desk/photos HTTP/1.1\r\nHost: x\r\nContent-Length: 300000\r\n\r\n"
         )
@@ -172,10 +172,10 @@
             reply = deployment.send("east-1", "POST", "/photos", blocks, length)
             assert (reply.status, reply.outcome) == (413, "not-run")
         for body in (b"{", b"[1]", b'{"team": 1}'):
-            client = create_client(*deployment.place("east-1", "lookup"), "x")
+            client = create_client(*deployment.listen_address("east-1", "lookup"), "x")
             req = SentRequest("PUT", "/settings", {}, body)
             assert client.send(req, 2.0).status_code == 400
-        sock = gevent.socket.create_connection(deployment.place("east-1"))
+        sock = gevent.socket.create_connection(deployment.listen_address("east-1"))
         sock.sendall(b"GET / HTTP/1.1\r\nX: " + b"y" * 200_000 + b"\r\n\r\n")
         assert sock.recv(100).startswith(b"HTTP/1.1 4")
         assert deployment.send("east-1", "GET", "/status/1").status == 200
@@ -184,7 +184,7 @@
 def test_leaving_endpoint_gets_no_new_work():
     with small_deployment(names=["east-1"]) as deployment:
         assert deployment.put("east-1", leave("east-ep1"), base=1).status == 200
-        deployment.wait_version(2)
+        deployment.wait_for_version(2)
         before = deployment.endpoints["east-ep1"].counts["served"]
         for _ in range(30):
             assert deployment.send("east-1", "GET", "/status/1").status == 200
@@ -203,7 +203,7 @@
         assert deployment.send("east-1", "GET", "/status/1").status == 200
         assert photo.get().status == 200
         stop.join(10)
-        assert row_of(deployment.store, "instances", "east-1") is None
+        assert read_row(deployment.store, "instances", "east-1") is None
 
 
 def test_accepted_settings_are_in_force_everywhere_with_the_store_slow():
@@ -211,7 +211,7 @@
         deployment.store.set_faults(slow_s=0.2)
         answer = deployment.put("west-1", leave("east-ep1"), base=1)
         assert (answer.status, answer.body["version"]) == (200, 2)
-        deployment.wait_version(2)
+        deployment.wait_for_version(2)
         for front in deployment.fronts.values():
             assert not front.endpoints.get("east-ep1").usable()
 
@@ -260,11 +260,11 @@
 def test_restart_with_the_store_down_learns_from_peers_and_never_goes_back():
     with small_deployment(instances=2) as deployment:
         deployment.put("east-1", limit_body(9000), base=1)
-        deployment.wait_version(2)
+        deployment.wait_for_version(2)
         deployment.store.set_faults(down=True)
         deployment.fronts["east-1"].close()
         deployment.start_front("east-1")
-        deployment.wait_version(2)
+        deployment.wait_for_version(2)
         assert deployment.send("east-1", "GET", "/status/1").status == 200
 
 
@@ -277,7 +277,7 @@
             subtree["services"]["desk"]["region_limits"] = {"east": 5}
 
         deployment.put("east-1", limit, base=1)
-        deployment.wait_version(2)
+        deployment.wait_for_version(2)
         most = 0
         tasks = [
             gevent.spawn(deployment.send, f"east-{n % 2 + 1}", "GET", f"/status/{n}")
--- a/quetzalwall/process/tests/test_sessions.py
+++ b/quetzalwall/process/tests/test_sessions.py
@@ -12,7 +12,7 @@
 import gevent
 
 from quetzalwall.logs import setup_logs
-from quetzalwall.tests.fixtures import row_of, small_deployment
+from quetzalwall.tests.product_fixtures import read_row, small_deployment
 
 FOLDER = Path(__file__).parent / "golden"
 PARTS = ("request", "front", "operators")
@@ -134,7 +134,7 @@
 
 
 def _row(session, key):
-    row = row_of(session.deployment.store, "claims", f"claim/desk/{key}")
+    row = read_row(session.deployment.store, "claims", f"claim/desk/{key}")
     return row or {"state": ""}
 
 
@@ -145,7 +145,7 @@
 
     session.send("GET", "/status/1")
     session.put(leave, base=1)
-    session.deployment.wait_version(2)
+    session.deployment.wait_for_version(2)
     session.say("the only endpoints leave")
     session.send("GET", "/status/2")
 
@@ -178,7 +178,7 @@
         }
 
     session.put(shift, base=1)
-    session.deployment.wait_version(2)
+    session.deployment.wait_for_version(2)
     front = session.deployment.fronts["east-1"]
     front.limits.shifts.adjust = lambda: None
     front.limits.shifts.progress("move").fraction = 1.0
--- a/quetzalwall/request/request_server.py
+++ b/quetzalwall/request/request_server.py
@@ -264,7 +264,7 @@
         if shift is not None:
             self._limits.shifts.record_move(shift, now)
         if choice.limited:
-            self._metrics.sent_elsewhere(req.service)
+            self._metrics.record_diversion(req.service)
         log_choice(req, choice, len(tried) + 1, now, shift.shift.name if shift else "")
         return choice
 
@@ -362,18 +362,18 @@
 
     def _finish(self, req, ended):
         took_s = self._monotonic() - req.arrived
-        self._metrics.answered(
+        self._metrics.record_finished(
             req.route.name, ended.outcome, ended.answer.status, took_s
         )
         log_finish(req, ended.outcome, ended.answer.status, ended.endpoint, took_s)
 
     def _refuse(self, facts, route, step, reason, retry_after_s):
-        self._metrics.refused(route, reason)
+        self._metrics.record_rejection(route, reason)
         log_refusal(facts, route, reason, retry_after_s)
         return self._dialect.refuse(retry_after_s, step, reason)
 
     def _note_failure(self, req, exc, state):
-        self._metrics.failed(req.service, type(exc).__name__)
+        self._metrics.record_failed_attempt(req.service, type(exc).__name__)
         log_failure(req, exc, state.name)
 
 
--- a/quetzalwall/request/tests/test_claim.py
+++ b/quetzalwall/request/tests/test_claim.py
@@ -11,7 +11,12 @@
     create_claims,
     request_digest,
 )
-from quetzalwall.tests.fixtures import row_of, running_store, seeded, table_of
+from quetzalwall.tests.product_fixtures import (
+    open_store_table,
+    read_row,
+    running_store,
+    seeded_rng,
+)
 
 DIGEST = request_digest("POST", "/bookings", b"x")
 
@@ -23,7 +28,7 @@
         self.store = store
         self.clock = system_clock()
         self.batchers = [
-            create_write_batcher(table, self.clock, seeded(n)) for n in range(2)
+            create_write_batcher(table, self.clock, seeded_rng(n)) for n in range(2)
         ]
         self.claims = [
             create_claims(batcher, self.clock, f"instance-{n}", gevent.spawn)
@@ -35,7 +40,7 @@
         return self.claims[instance].claim("desk", key, digest, 2.0, until)
 
     def row(self, key="k"):
-        return row_of(self.store, "claims", f"claim/desk/{key}")
+        return read_row(self.store, "claims", f"claim/desk/{key}")
 
     def write(self, value, key="k"):
         self.store.put("claims", f"claim/desk/{key}", json.dumps(value).encode())
@@ -43,7 +48,7 @@
 
 def with_attempts(test):
     def run():
-        with running_store() as store, table_of(store) as table:
+        with running_store() as store, open_store_table(store) as table:
             attempts = Attempts(store, table)
             for batcher in attempts.batchers:
                 batcher.start()
--- a/quetzalwall/tests/daemon_fixture.py
+++ b/quetzalwall/tests/daemon_fixture.py
@@ -13,7 +13,7 @@
     write_settings,
 )
 
-STARTED_S = 20.0  # on a busy machine
+START_TIMEOUT_S = 20.0  # on a busy machine
 
 
 class Daemon:
@@ -24,17 +24,17 @@
         self.callers = callers
         self._output = output
 
-    def said(self):
+    def read_output(self):
         """Return all that it has written."""
         self._output.seek(0)
         return self._output.read()
 
     def started(self):
-        return "event=started" in self.said()
+        return "event=started" in self.read_output()
 
 
 @contextmanager
-def daemon(settings=None, streams=None, **environ):
+def running_daemon(settings=None, streams=None, **environ):
     """Run an instance whose store is down, with further settings and variables.
 
     `streams` are its standard output and error, if not a file.
--- a/quetzalwall/tests/platform_fixtures.py
+++ b/quetzalwall/tests/platform_fixtures.py
@@ -37,7 +37,7 @@
         return Clock(self.monotonic, self.monotonic)
 
 
-class Beat:
+class LoopMonitor:
     """Measures how long the event loop is held, and the memory meanwhile.
 
     Held time is processor time of this process, so that it does not depend on what
--- a/quetzalwall/tests/fixtures.py
+++ b/quetzalwall/tests/product_fixtures.py
@@ -80,7 +80,7 @@
 
 
 @contextmanager
-def table_of(store, timeout_s=0.3):
+def open_store_table(store, timeout_s=0.3):
     client = create_store_client(*store.server.address, timeout_s)
     try:
         yield create_store_table(client)
@@ -88,7 +88,7 @@
         client.close()
 
 
-def row_of(store, table, key):
+def read_row(store, table, key):
     """Return the decoded value of a row, or None."""
     found = store.rows.get((table, "", key))
     return None if found is None else json.loads(found[0])
@@ -115,8 +115,8 @@
         self.fronts = {}
         names = [(r, n) for r in regions for n in range(instances)]
         self.addresses = {
-            f"{region}-{number + 1}": own_address(place)
-            for place, (region, number) in enumerate(names)
+            f"{region}-{number + 1}": own_address(listen_address)
+            for listen_address, (region, number) in enumerate(names)
         }
 
     def settings(self, name):
@@ -146,13 +146,13 @@
         front.start()
         return front
 
-    def place(self, name, part="callers"):
+    def listen_address(self, name, part="callers"):
         return self.addresses[name], self.ports[part]
 
     def wait(self, condition, timeout_s=10.0):
         wait_for(condition, timeout_s)
 
-    def wait_version(self, version):
+    def wait_for_version(self, version):
         self.wait(
             lambda: all(
                 front.cluster_state.ready()
@@ -164,7 +164,7 @@
     def send(self, name, method, path, body=b"", length=0, key=None, timeout_s=8.0):
         """Send one request; return status, outcome, response and body."""
         headers = {"Idempotency-Key": key} if key else {}
-        client = create_client(*self.place(name), name)
+        client = create_client(*self.listen_address(name), name)
         try:
             req = SentRequest(method, f"/s/desk{path}", headers, body, length)
             res = client.send(req, timeout_s)
@@ -174,7 +174,9 @@
 
     def call(self, name, method, target, body=None, headers=None):
         """Call an instance as an operator or a look-up does."""
-        client = create_json_client(*self.place(name, "lookup"), name, timeout_s=5.0)
+        client = create_json_client(
+            *self.listen_address(name, "lookup"), name, timeout_s=5.0
+        )
         try:
             return client.call(method, target, body, headers=headers)
         finally:
@@ -227,7 +229,7 @@
         try:
             for name in chosen:
                 deployment.start_front(name)
-            deployment.wait_version(1)
+            deployment.wait_for_version(1)
             live = len(chosen)
             deployment.wait(
                 lambda: all(
@@ -247,7 +249,7 @@
         return sock.getsockname()[1]
 
 
-def seeded(seed=0):
+def seeded_rng(seed=0):
     return random.Random(seed)
 
 
@@ -277,7 +279,7 @@
         handle(sock)
 
 
-def read_request(sock):
+def read_request_head(sock):
     """Return the head of the next request, or b"" if the connection closed."""
     data = b""
     while b"\r\n\r\n" not in data:
@@ -288,7 +290,7 @@
     return data
 
 
-def echo_of(head):
+def parse_request_id(head):
     """Return the identifier in a request's head."""
     for line in head.decode().split("\r\n"):
         if line.lower().startswith("x-request-id:"):
--- a/quetzalwall/tests/test_daemon_output.py
+++ b/quetzalwall/tests/test_daemon_output.py
@@ -7,7 +7,7 @@
 import gevent
 import gevent.socket
 
-from quetzalwall.tests.daemon_fixture import STARTED_S, daemon
+from quetzalwall.tests.daemon_fixture import START_TIMEOUT_S, running_daemon
 from quetzalwall.tests.platform_fixtures import HOST, call, wait_for
 
 REQUESTS = 200
@@ -38,8 +38,8 @@
 def test_an_instance_serves_while_nobody_reads_what_it_writes():
     ends = [os.pipe(), os.pipe()]
     try:
-        with daemon(streams=[writer for _, writer in ends]) as run:
-            wait_for(lambda: answers(run), STARTED_S)
+        with running_daemon(streams=[writer for _, writer in ends]) as run:
+            wait_for(lambda: answers(run), START_TIMEOUT_S)
             for _ in range(REQUESTS):
                 assert b"400" in send(run.callers)
             assert answers(run)
--- a/quetzalwall/tests/test_daemon_start.py
+++ b/quetzalwall/tests/test_daemon_start.py
@@ -9,7 +9,7 @@
 import gevent
 
 from quetzalwall.logs import WRITE_DELAY_S, BoundedHandler, get_logger, log_event
-from quetzalwall.tests.daemon_fixture import STARTED_S
+from quetzalwall.tests.daemon_fixture import START_TIMEOUT_S
 from quetzalwall.tests.platform_fixtures import (
     free_ports,
     own_address,
@@ -71,7 +71,7 @@
         preexec_fn=lambda: [os.close(number) for number in closed],
     )
     try:
-        end = time.monotonic() + STARTED_S
+        end = time.monotonic() + START_TIMEOUT_S
         while not accepts(place) and process.poll() is None:
             assert time.monotonic() < end
             time.sleep(0.05)
--- a/quetzalwall/version/tests/test_settings.py
+++ b/quetzalwall/version/tests/test_settings.py
@@ -6,7 +6,11 @@
 from quetzalwall.exceptions import SettingsConflict, SettingsError
 from quetzalwall.platform.settings import read_settings
 from quetzalwall.process.storage.settings_tree import read_tree
-from quetzalwall.tests.fixtures import make_tree, running_store, table_of
+from quetzalwall.tests.product_fixtures import (
+    make_tree,
+    open_store_table,
+    running_store,
+)
 from quetzalwall.version.check import check_tree, load_json
 from quetzalwall.version.compile import compile_tree
 from quetzalwall.version.model import find_route
@@ -77,7 +81,7 @@
 
 def with_store(test):
     def run():
-        with running_store() as store, table_of(store) as table:
+        with running_store() as store, open_store_table(store) as table:
             tree = make_tree()
             load_tree(store, tree)
             test(store, table, tree)
