--- a/quetzalwall/connection/dialect.py
+++ b/quetzalwall/connection/dialect.py
@@ -110,8 +110,8 @@
     parse_request : callable
         From a WSGI environment to `RequestMetadata`.
     endpoint_headers : callable
-        From `RequestMetadata`, the endpoint's name and the seconds left to the headers of
-        a request to it.
+        From `RequestMetadata`, the endpoint's name and the seconds left to the headers
+        of a request to it.
     parse_response : callable
         From an answer's status and headers to `ResponseMetadata`.
     response_headers : callable
--- a/quetzalwall/process/cluster/peer_report.py
+++ b/quetzalwall/process/cluster/peer_report.py
@@ -66,7 +66,8 @@
     confirmed : dict of str to int
         Milliseconds since the store last told the sender what has changed in a table.
     limited : list of (int, int, int, int, int)
-        Code of an endpoint that names a limit, and the figures of `AdvertisedLimit.own_report`.
+        Code of an endpoint that names a limit, and the figures of
+        `AdvertisedLimit.own_report`.
     """
 
     info: PeerInfo
