--- a/quetzalwall/connection/dialect.py
+++ b/quetzalwall/connection/dialect.py
@@ -1,7 +1,7 @@
-"""What callers and endpoints say on the wire, in the project's own terms.
+"""Interface between the headers on the wire and the rest of the system.
 
-The product's own interface and the platform's differ in names of headers and in how an
-answer tells of its outcome. Each is a `Dialect`; everything else is the same.
+The product's own protocol and the platform's differ in the names of headers and in how
+a response states its outcome. Each is a `Dialect`; all other code is common to both.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
     "forwarded_headers",
 ]
 
-# Headers that concern one connection only.
+# Headers that apply to one connection only and are not forwarded.
 HOP_BY_HOP_HEADERS = frozenset(
     [
         "connection",
@@ -34,20 +34,21 @@
 
 
 class RequestMetadata(NamedTuple):
-    """What a caller's headers say.
+    """Metadata of a caller's request.
 
     Attributes
     ----------
     request_id : str
-        Identity of this attempt; empty if it has none.
+        Identifier of this attempt; empty if it has none.
     timeout_s : float or None
-        Seconds that the caller will wait.
+        Seconds that the caller will wait; None if it does not say.
     object_key : str
-        Object that the request concerns; empty if none is named.
+        Object that the request is about; empty if none is named.
     headers : dict of str to str
-        Headers to pass on.
+        Headers to forward.
     idempotency_key : str, default=""
-        Key under which the request may run once, whoever sends it; empty if none.
+        Requests with the same key may run once in total, whoever sends them; empty if
+        there is none.
     """
 
     request_id: str
@@ -58,33 +59,34 @@
 
 
 class ResponseMetadata(NamedTuple):
-    """What an endpoint's headers say.
+    """Metadata of an endpoint's response.
 
     Attributes
     ----------
     request_id : str or None
-        Request that it answers.
+        Identifier of the request that it names; None if it names none.
     not_run : bool
-        Whether the endpoint says that the request has not run.
+        Whether the endpoint states that the request has not run.
     misdirected : bool
-        Whether another endpoint than the one expected has the address.
+        Whether the address belongs to an endpoint other than the expected one.
     load : tuple or None
         Requests running, requests waiting, slots, and slowness (1.0 is usual).
     cold_s : float or None
-        Seconds for which the endpoint remains cold.
+        Seconds for which the endpoint will still be cold.
     keep_alive_s : float or None
-        Seconds for which it keeps an idle connection.
+        Seconds for which the endpoint keeps an idle connection open.
     headers : list of (str, str)
-        Headers to pass on.
+        Headers to forward.
     authentic : bool, default=True
-        Whether it bears what an endpoint's own answer must bear.
+        Whether it has the headers that a response of the endpoint itself must have.
     implies_not_run : bool, default=False
-        Whether callers take its status for "not run", which the endpoint didn't say.
+        Whether callers would conclude "not run" from the status, although the endpoint
+        does not state it.
     limit_per_s : float or None, default=None
-        Requests a second that the endpoint takes from all instances together; None if
-        it names no limit.
+        Advertised limit: requests a second that the endpoint accepts from all instances
+        together; None if there is none.
     malformed_limit : str, default=""
-        What was named as a limit and is none.
+        Value of an advertised limit that cannot be parsed.
     """
 
     request_id: str | None
@@ -101,27 +103,27 @@
 
 
 class Dialect(NamedTuple):
-    """How callers and endpoints speak.
+    """Protocol variant spoken with callers and endpoints.
 
     Attributes
     ----------
     host_and_path : callable
-        From a WSGI environment to the host, and the path with query, of a request.
+        From a WSGI environment to the host, and the path with query.
     parse_request : callable
         From a WSGI environment to `RequestMetadata`.
     endpoint_headers : callable
-        From `RequestMetadata`, the endpoint's name and the seconds left to the headers
-        of a request to it.
+        From `RequestMetadata`, the name of an endpoint and the remaining seconds to the
+        headers of the request to that endpoint.
     parse_response : callable
-        From an answer's status and headers to `ResponseMetadata`.
+        From the status and headers of an endpoint's response to `ResponseMetadata`.
     response_headers : callable
-        From the headers of an endpoint's answer to those that the caller gets.
+        From the forwarded headers of an endpoint's response to those for the caller.
     reject : callable
-        From seconds to wait, step, reason and peer to the answer that says "not run".
+        From the seconds until a retry, step, reason and peer to the response "not run".
     fail : callable
-        From a status and an `EndpointError` to the answer that leaves it open.
+        From a status and an `EndpointError` to the response "outcome unknown".
     bad_request : callable
-        From a `BadRequest` to its answer.
+        From a `BadRequest` to the response.
     """
 
     host_and_path: Callable
@@ -135,10 +137,10 @@
 
 
 def combine_headers(items):
-    """Return headers by their names in small letters.
+    """Return headers by lower-case name.
 
-    What stands in several lines is joined, as it has one meaning only: an answer whose
-    head is made up of two names no request, rather than the last one.
+    Values of repeated headers are joined. A response whose head is a mixture of two
+    thus names none of their requests, rather than the last one.
 
     Parameters
     ----------
@@ -149,22 +151,24 @@
     -------
     dict of str to str
     """
-    found = {}
+    combined = {}
     for name, value in items:
-        small = name.lower()
-        found[small] = f"{found[small]}, {value}" if small in found else value
-    return found
+        lower_name = name.lower()
+        combined[lower_name] = (
+            f"{combined[lower_name]}, {value}" if lower_name in combined else value
+        )
+    return combined
 
 
-def forwarded_headers(environ, left_out=frozenset()):
-    """Return the headers of a caller's request that concern its endpoint.
+def forwarded_headers(environ, excluded=frozenset()):
+    """Return the headers of a caller's request to forward to an endpoint.
 
     Parameters
     ----------
     environ : dict
         WSGI environment.
-    left_out : frozenset of str
-        Further names to leave out, in small letters.
+    excluded : frozenset of str
+        Further names to leave out, in lower case.
 
     Returns
     -------
@@ -173,12 +177,12 @@
     headers = {}
     for name, value in environ.items():
         if name.startswith("HTTP_"):
-            plain = name[5:].replace("_", "-")
+            header_name = name[5:].replace("_", "-")
             if (
-                plain.lower() not in HOP_BY_HOP_HEADERS
-                and plain.lower() not in left_out
+                header_name.lower() not in HOP_BY_HOP_HEADERS
+                and header_name.lower() not in excluded
             ):
-                headers[plain.title()] = value
+                headers[header_name.title()] = value
     if environ.get("CONTENT_TYPE"):
         headers["Content-Type"] = environ["CONTENT_TYPE"]
     return headers
--- a/quetzalwall/connection/product_dialect.py
+++ b/quetzalwall/connection/product_dialect.py
@@ -1,7 +1,7 @@
-"""The product's own interface towards callers and endpoints.
+"""The product's own protocol with callers and endpoints.
 
-Callers send requests to ``/s/SERVICE/PATH``. Each answer says in a header whether the
-request was answered, was not run, or may have run.
+Callers send requests to ``/s/SERVICE/PATH``. Each response states in a header whether
+the request was answered, was not run, or may have run.
 """
 
 import json
@@ -18,22 +18,25 @@
 from quetzalwall.connection.http_server import BadRequest
 from quetzalwall.request.response import Response
 
-__all__ = ["MOST_KEY_CHARACTERS", "OUTCOME_HEADER", "PRODUCT_DIALECT"]
+__all__ = ["MAX_KEY_CHARACTERS", "OUTCOME_HEADER", "PRODUCT_DIALECT"]
 
-MOST_KEY_CHARACTERS = 200
-MOST_DEADLINE_DIGITS = 12
+MAX_KEY_CHARACTERS = 200
+MAX_DEADLINE_DIGITS = 12
 OUTCOME_HEADER = "X-Quetzalwall-Outcome"
 STEP_HEADER = "X-Quetzalwall-Step"
 PEER_HEADER = "X-Quetzalwall-Peer"
-REQUEST_ID = "X-Request-Id"
-DEADLINE = "X-Deadline-Ms"
-NOT_RUN = "X-Not-Run"
-ANSWERED, WAS_NOT_RUN, UNKNOWN = "answered", "not-run", "unknown"
-OWN = frozenset((DEADLINE.lower(), REQUEST_ID.lower(), "host", "x-object-key"))
+REQUEST_ID_HEADER = "X-Request-Id"
+DEADLINE_HEADER = "X-Deadline-Ms"
+NOT_RUN_HEADER = "X-Not-Run"
+ANSWERED, NOT_RUN, UNKNOWN = "answered", "not-run", "unknown"
+# Headers of callers that are not forwarded to endpoints.
+CONSUMED_HEADERS = frozenset(
+    (DEADLINE_HEADER.lower(), REQUEST_ID_HEADER.lower(), "host", "x-object-key")
+)
 SERVICE_PATH = "/s/"
 
 
-def _place(environ):
+def _host_and_path(environ):
     target = environ["quetzalwall.target"]
     if not target.startswith(SERVICE_PATH):
         raise BadRequest(404, f"no such path: {target[:80]}")
@@ -41,78 +44,87 @@
     return service, f"/{rest}"
 
 
-def _caller_facts(environ):
+def _parse_request(environ):
     text = environ.get("HTTP_X_DEADLINE_MS")
-    if text is not None and not (text.isdigit() and len(text) <= MOST_DEADLINE_DIGITS):
-        raise BadRequest(400, f"{DEADLINE} is not a number: {text[:40]}")
+    if text is not None and not (text.isdigit() and len(text) <= MAX_DEADLINE_DIGITS):
+        raise BadRequest(400, f"{DEADLINE_HEADER} is not a number: {text[:40]}")
     key = environ.get("HTTP_IDEMPOTENCY_KEY", "")
-    if len(key) > MOST_KEY_CHARACTERS or not key.isprintable():
-        raise BadRequest(400, f"Idempotency-Key is longer than {MOST_KEY_CHARACTERS}")
+    if len(key) > MAX_KEY_CHARACTERS or not key.isprintable():
+        raise BadRequest(
+            400, f"Idempotency-Key is unprintable or longer than {MAX_KEY_CHARACTERS}"
+        )
     return RequestMetadata(
         request_id=uuid4().hex,
         timeout_s=None if text is None else int(text) / 1000,
         object_key=environ.get("HTTP_X_OBJECT_KEY", ""),
-        headers=forwarded_headers(environ, OWN),
+        headers=forwarded_headers(environ, CONSUMED_HEADERS),
         idempotency_key=key,
     )
 
 
-def _endpoint_headers(facts, endpoint, left_s):
-    own = {DEADLINE: str(max(1, int(left_s * 1000))), REQUEST_ID: facts.request_id}
-    return facts.headers | own
+def _endpoint_headers(metadata, endpoint, remaining_s):
+    added = {
+        DEADLINE_HEADER: str(max(1, int(remaining_s * 1000))),
+        REQUEST_ID_HEADER: metadata.request_id,
+    }
+    return metadata.headers | added
 
 
-def _answer_facts(status, items):
-    found = combine_headers(items)
-    skipped = HOP_BY_HOP_HEADERS | {REQUEST_ID.lower(), NOT_RUN.lower(), "date"}
+def _parse_response(status, items):
+    headers_by_name = combine_headers(items)
+    excluded = HOP_BY_HOP_HEADERS | {
+        REQUEST_ID_HEADER.lower(),
+        NOT_RUN_HEADER.lower(),
+        "date",
+    }
     return ResponseMetadata(
-        request_id=found.get(REQUEST_ID.lower()),
-        not_run=NOT_RUN.lower() in found,
+        request_id=headers_by_name.get(REQUEST_ID_HEADER.lower()),
+        not_run=NOT_RUN_HEADER.lower() in headers_by_name,
         misdirected=False,
         load=None,
         cold_s=None,
         keep_alive_s=None,
-        headers=[item for item in items if item[0].lower() not in skipped],
+        headers=[item for item in items if item[0].lower() not in excluded],
     )
 
 
-def _answered(headers):
+def _response_headers(headers):
     return [*headers, (OUTCOME_HEADER, ANSWERED)]
 
 
-def _refuse(retry_after_s, step, reason, peer=""):
+def _reject(retry_after_s, step, reason, peer=""):
     headers = [("Retry-After", str(max(1, round(retry_after_s))))]
-    return _own_answer(503, WAS_NOT_RUN, step, peer, reason, headers)
+    return _own_response(503, NOT_RUN, step, peer, reason, headers)
 
 
 def _fail(status, exc):
-    return _own_answer(status, UNKNOWN, exc.step, exc.peer, exc.message, [])
+    return _own_response(status, UNKNOWN, exc.step, exc.peer, exc.message, [])
 
 
-def _malformed(exc):
+def _bad_request(exc):
     step = "read request"
-    return _own_answer(exc.status, WAS_NOT_RUN, step, "caller", exc.message, [])
+    return _own_response(exc.status, NOT_RUN, step, "caller", exc.message, [])
 
 
-def _own_answer(status, outcome, step, peer, message, headers):
+def _own_response(status, outcome, step, peer, message, headers):
     body = {"outcome": outcome, "step": step, "peer": peer, "message": message}
-    fixed = [
+    base_headers = [
         ("Content-Type", "application/json"),
         (OUTCOME_HEADER, outcome),
         (STEP_HEADER, step),
         (PEER_HEADER, peer),
     ]
     raw = json.dumps(body, sort_keys=True).encode()
-    return Response(status, fixed + headers, raw)
+    return Response(status, base_headers + headers, raw)
 
 
 PRODUCT_DIALECT = Dialect(
-    host_and_path=_place,
-    parse_request=_caller_facts,
+    host_and_path=_host_and_path,
+    parse_request=_parse_request,
     endpoint_headers=_endpoint_headers,
-    parse_response=_answer_facts,
-    response_headers=_answered,
-    reject=_refuse,
+    parse_response=_parse_response,
+    response_headers=_response_headers,
+    reject=_reject,
     fail=_fail,
-    bad_request=_malformed,
+    bad_request=_bad_request,
 )
