--- a/quetzalwall/connection/__init__.py
+++ b/quetzalwall/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one connection."""
+"""Connections to callers, endpoints and other processes, and HTTP on them."""
--- a/quetzalwall/connection/caller_connection.py
+++ b/quetzalwall/connection/caller_connection.py
@@ -1,4 +1,4 @@
-"""The caller's side of a request: its body, and whether it is still there."""
+"""The connection of a caller: reading the request body, detecting a disconnect."""
 
 import gevent
 import gevent.socket
@@ -7,28 +7,28 @@
 
 __all__ = ["CallerLeft", "NoMemory", "is_closed", "read_body", "cancel_on_disconnect"]
 
-PIECE_BYTES = 64 * 1024  # of a body, read at one time
+READ_BYTES = 64 * 1024
 
 
 class CallerLeft(gevent.GreenletExit):
-    """The caller closed its connection while its request was served."""
+    """The caller closed its connection while its request was being served."""
 
 
 class NoMemory(Exception):
-    """There is no room for a caller's body now; its request was not run."""
+    """The memory budget has no room for a request body; the request was not run."""
 
 
-def read_body(environ, most_bytes, hold):
-    """Return the whole body of a request.
+def read_body(environ, max_bytes, reservation):
+    """Return the complete body of a request.
 
     Parameters
     ----------
     environ : dict
         WSGI environment.
-    most_bytes : int
-        Longest body that is taken.
-    hold : Reservation
-        Counts its bytes.
+    max_bytes : int
+        Maximum length of a body.
+    reservation : Reservation
+        Memory reservation of the request, to which the body is added.
 
     Returns
     -------
@@ -37,46 +37,46 @@
     Raises
     ------
     BadRequest
-        It is too long.
+        The body is too long.
     CallerLeft
         The caller closed its connection.
     NoMemory
-        There is no room for it now.
+        The memory budget has no room for the body.
     """
     length = environ.get("CONTENT_LENGTH", "")
-    if length.isdigit() and int(length) > most_bytes:
-        raise BadRequest(413, f"body is longer than {most_bytes} bytes")
+    if length.isdigit() and int(length) > max_bytes:
+        raise BadRequest(413, f"body is longer than {max_bytes} bytes")
     if not length and "HTTP_TRANSFER_ENCODING" not in environ:
         return b""
     body = bytearray()
     try:
-        while piece := environ["wsgi.input"].read(PIECE_BYTES):
-            if len(body) + len(piece) > most_bytes:
-                raise BadRequest(413, f"body is longer than {most_bytes} bytes")
-            if not hold.take(len(piece)):
+        while chunk := environ["wsgi.input"].read(READ_BYTES):
+            if len(body) + len(chunk) > max_bytes:
+                raise BadRequest(413, f"body is longer than {max_bytes} bytes")
+            if not reservation.try_reserve(len(chunk)):
                 raise NoMemory
-            body += piece
+            body += chunk
     except OSError as exc:
         raise CallerLeft(str(exc)) from exc
     return bytes(body)
 
 
-def cancel_on_disconnect(sock, server):
-    """Stop the serving task when its caller closes the connection.
+def cancel_on_disconnect(sock, task):
+    """Stop the task that serves a request when the caller closes its connection.
 
     Parameters
     ----------
     sock : gevent.socket.socket
         The caller's connection.
-    server : gevent.Greenlet
-        The task that serves it.
+    task : gevent.Greenlet
+        The task that serves the request.
     """
     try:
         gevent.socket.wait_read(sock.fileno())
     except (OSError, ValueError):
         return
     if is_closed(sock):
-        server.kill(CallerLeft, block=False)
+        task.kill(CallerLeft, block=False)
 
 
 def is_closed(sock):
--- a/quetzalwall/connection/connection_limiter.py
+++ b/quetzalwall/connection/connection_limiter.py
@@ -1,46 +1,47 @@
-"""All connections of an instance to endpoints, counted, with a limit for them together.
+"""Limit on the connections of an instance to all endpoints together.
 
-A process without a free descriptor accepts no caller, reaches no endpoint and not the
-store either. So connections at work and idle ones keep within a part of them.
+A process without a free file descriptor can neither accept callers nor connect to
+endpoints or the store. Connections to endpoints, idle ones included, therefore get a
+share of the descriptors only.
 """
 
 import errno
 import math
 
 from quetzalwall.connection.nodelay import connect
-from quetzalwall.connection.yielding_socket import FairSocket
+from quetzalwall.connection.yielding_socket import YieldingSocket
 from quetzalwall.exceptions import NoRoom, NotConnected
 
-__all__ = ["ConnectionLimiter", "failure"]
+__all__ = ["ConnectionLimiter", "connect_error"]
 
-# Errors of a connection that say nothing of the other side.
-OWN_LIMITS = frozenset(
+# Errors of this process or its machine, which say nothing about the endpoint.
+LOCAL_ERRNOS = frozenset(
     (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 )
 
 
-class _CountedSocket(FairSocket):
-    """Connection that tells when it is closed."""
+class _LimitedSocket(YieldingSocket):
+    """Socket that reports its closing to the limiter."""
 
-    connections = None
+    limiter = None
 
     def close(self):
-        """Close it."""
+        """Close the socket and report it, once."""
         super().close()
-        connections, self.connections = self.connections, None
-        if connections is not None:
-            connections.closed(self)
+        limiter, self.limiter = self.limiter, None
+        if limiter is not None:
+            limiter.on_closed(self)
 
 
 class ConnectionLimiter:
-    """Counts connections to endpoints, idle ones included.
+    """Opens and counts connections to endpoints, idle ones included.
 
     Attributes
     ----------
-    most : float
-        Connections open at once.
-    open : int
-        Those that are open or being opened.
+    max_open : float
+        Maximum number of open connections.
+    open_count : int
+        Connections that are open or being opened.
     """
 
     def __init__(self):
@@ -48,92 +49,92 @@
         self.open_count = 0
         self._idle = {}
 
-    def connect(self, place, timeout_s):
-        """Open a connection; the oldest idle one ends if there is no room.
+    def connect(self, address, timeout_s):
+        """Open a connection; at the limit, close the longest idle one first.
 
         Parameters
         ----------
-        place : (str, int)
-            IP number and port.
+        address : (str, int)
+            IP address and port.
         timeout_s : float
-            Seconds that opening it may take.
+            Seconds that connecting may take.
 
         Returns
         -------
-        FairSocket
+        YieldingSocket
 
         Raises
         ------
         OSError
-            Nobody accepts it in time, or there is no room for it.
+            The connection was not accepted in time, or all connections are in use.
         """
-        if self.open_count >= self.max_open and not self._end_oldest():
-            message = f"all {self.max_open} connections to endpoints are at work"
+        if self.open_count >= self.max_open and not self._close_oldest_idle():
+            message = f"all {self.max_open} connections to endpoints are in use"
             raise OSError(errno.EMFILE, message)
         self.open_count += 1
         try:
-            sock = connect(place, timeout_s, _CountedSocket)
+            sock = connect(address, timeout_s, _LimitedSocket)
         except BaseException:
             self.open_count -= 1
             raise
-        sock.connections = self
+        sock.limiter = self
         return sock
 
-    def enter_idle(self, sock, kept):
-        """Note that a connection is kept for another request.
+    def add_idle(self, sock, client_idle):
+        """Record that a connection became idle.
 
         Parameters
         ----------
-        sock : FairSocket
+        sock : YieldingSocket
             The connection.
-        kept : collections.deque
-            Idle connections to the same endpoint, of which it is the last.
+        client_idle : collections.deque
+            Idle connections to the same endpoint; the connection is the last of them.
         """
-        self._idle[sock] = kept, kept[-1]
+        self._idle[sock] = client_idle, client_idle[-1]
 
-    def leave_idle(self, sock):
-        """Note that a connection is used again.
+    def remove_idle(self, sock):
+        """Record that a connection is in use again.
 
         Parameters
         ----------
-        sock : FairSocket
+        sock : YieldingSocket
             The connection.
         """
         self._idle.pop(sock, None)
 
-    def closed(self, sock):
-        """Note that a connection is closed.
+    def on_closed(self, sock):
+        """Record that a connection was closed.
 
         Parameters
         ----------
-        sock : FairSocket
+        sock : YieldingSocket
             The connection.
         """
         self.open_count -= 1
-        self.leave_idle(sock)
+        self.remove_idle(sock)
 
-    def _end_oldest(self):
+    def _close_oldest_idle(self):
         if not self._idle:
             return False
-        sock, (kept, entry) = next(iter(self._idle.items()))
-        kept.remove(entry)
+        sock, (client_idle, entry) = next(iter(self._idle.items()))
+        client_idle.remove(entry)
         sock.close()
         return True
 
 
-def failure(exc, name):
-    """Return what it means that a connection could not be opened.
+def connect_error(exc, name):
+    """Return the exception for a connection that could not be opened.
 
     Parameters
     ----------
     exc : OSError
-        Why it could not.
+        Why it could not be opened.
     name : str
         Name of the endpoint.
 
     Returns
     -------
-    NotRun
+    NoRoom or NotConnected
     """
-    kind = NoRoom if exc.errno in OWN_LIMITS else NotConnected
-    return kind(str(exc), step="connect", peer=name)
+    error = NoRoom if exc.errno in LOCAL_ERRNOS else NotConnected
+    return error(str(exc), step="connect", peer=name)
--- a/quetzalwall/connection/endpoint_client.py
+++ b/quetzalwall/connection/endpoint_client.py
@@ -1,8 +1,8 @@
-"""Send one request to one endpoint, on a connection that may be kept.
+"""HTTP client of one endpoint: one attempt for each request, on pooled connections.
 
-Each call makes one attempt and tells whether the request can have run. Answers that
-are not proved to be its own are dropped. A connection is kept only if its answer named
-the request, nothing follows, the whole body was sent and the endpoint means to keep it.
+An error tells whether the request may have run. Responses that cannot be matched to
+the request are dropped. A connection is reused only if the response names the request,
+no bytes follow it, the whole body was sent and the endpoint keeps the connection open.
 """
 
 from collections import deque
@@ -14,48 +14,49 @@
 from geventhttpclient.client import HTTPClient
 from geventhttpclient.response import HTTPParseError
 
-from quetzalwall.connection.answer_parser import AnswerParser
-from quetzalwall.connection.connection_limiter import ConnectionLimiter, failure
+from quetzalwall.connection.connection_limiter import ConnectionLimiter, connect_error
 from quetzalwall.connection.endpoint_connection import EndpointConnection
 from quetzalwall.connection.memory_budget import Reservation
-from quetzalwall.connection.nodelay import readable_now
+from quetzalwall.connection.nodelay import is_readable
+from quetzalwall.connection.response_parser import ResponseParser
 from quetzalwall.exceptions import IncompleteAnswer, NotRun, OutcomeUnknown
 
 __all__ = ["EndpointClient", "EndpointRequest", "create_endpoint_client"]
 
 CONNECT_TIMEOUT_S = 0.6  # several round trips between the farthest regions
-IDLE_LIMIT_S = 8.0  # shorter than the endpoints' usual 10 s
-CAREFUL_IDLE_S = 2.0  # for requests that may not run twice: a late close costs them
+MAX_IDLE_S = 8.0  # shorter than the endpoints' usual 10 s
+NON_IDEMPOTENT_IDLE_S = 2.0  # such requests fail if the endpoint closes meanwhile
 KEEP_ALIVE_MARGIN_S = 1.0
-INLINE_BODY_BYTES = 16 * 1024  # longer bodies are sent while the answer is awaited
+MAX_INLINE_BYTES = 16 * 1024  # longer requests are sent while the response is awaited
 READ_BYTES = 64 * 1024
-MOST_ANSWER_BYTES = 64 * 1024 * 1024  # where nothing is counted
-MOST_IDLE = 64  # connections
-MIN_LIMIT_S = 0.001
-LOOK_S = 0.25  # between two looks at whether an answer is still worth waiting for
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024  # of a request without a memory reservation
+MAX_IDLE_CONNECTIONS = 64
+MIN_TIMEOUT_S = 0.001
+POLL_S = 0.25  # between two calls of `should_abandon`
 
 
 class EndpointRequest(NamedTuple):
-    """A request and how it is to be sent.
+    """A request to an endpoint, and how to send it.
 
     Attributes
     ----------
     method, target : str
         HTTP method, and path with query.
     headers : dict of str to str
-        All headers but the length.
+        All headers except Content-Length.
     body : bytes
-        The whole body.
+        The complete body.
     request_id : str
-        The answer must name it; empty if it has none, for a connection of its own.
+        Identifier that the response has to name; a request without one (empty) gets a
+        connection of its own.
     idempotent : bool
-        Whether it may be sent on a connection that has been idle for longer.
-    hopeless : callable or None
-        Whether no answer is to be expected any more; None to wait in any case.
-    hold : Reservation or None
-        Counts the bytes of the answer; None counts none.
-    check_wanted : callable or None
-        Raises if nobody waits for the answer any more, so that nothing is sent.
+        Whether it may run twice; if so, any idle connection may carry it.
+    should_abandon : callable or None
+        Whether to stop waiting at an unresponsive endpoint; None waits in any case.
+    reservation : Reservation or None
+        Memory reserved for the response; None reserves nothing.
+    before_send : callable or None
+        Raises if nobody waits for the response any more, so that nothing is sent.
     """
 
     method: str
@@ -64,48 +65,48 @@
     body: bytes
     request_id: str
     idempotent: bool
-    hopeless: Callable | None = None
-    hold: Reservation | None = None
-    check_wanted: Callable | None = None
+    should_abandon: Callable | None = None
+    reservation: Reservation | None = None
+    before_send: Callable | None = None
 
 
-class _Idle(NamedTuple):
+class _IdleConnection(NamedTuple):
     connection: EndpointConnection
     since: float
-    limit_s: float
+    max_idle_s: float
 
 
 class EndpointClient:
-    """Connections to one endpoint.
+    """Client of one endpoint, with a pool of idle connections.
 
     Parameters
     ----------
     name : str
         Name of the endpoint.
     host : str
-        IP number.
+        IP address.
     port : int
         TCP port.
     parse_response : callable
-        From status and headers of an answer to what they say.
+        From the status and headers of a response to `ResponseMetadata`.
     monotonic : callable
         Clock in seconds.
 
     Attributes
     ----------
-    opened : int
+    opened_count : int
         Connections opened so far.
     connect_s : float or None
         Seconds that the last connection took to open: one round trip.
-    connections : ConnectionLimiter
-        Counts those to all endpoints.
+    limiter : ConnectionLimiter
+        Limits the connections to all endpoints together.
     idle : collections.deque
-        Those that are kept for another request.
+        Idle connections, the one released last at the end.
     """
 
     def __init__(self, name, host, port, parse_response, monotonic):
         self.name = name
-        self.place = (host, port)
+        self.address = (host, port)
         self.opened_count = 0
         self.connect_s = None
         self._parse_response = parse_response
@@ -113,55 +114,55 @@
         self.idle = deque()
         self._closed = False
         self.limiter = ConnectionLimiter()
-        self._http = None  # made when it is needed: most endpoints get no request
+        self._http = None  # created on demand: most endpoints get no request
 
-    def send(self, send, deadline):
-        """Send a request once and return the whole answer.
+    def send(self, req, deadline):
+        """Send a request once and return the complete response.
 
         Parameters
         ----------
-        send : EndpointRequest
+        req : EndpointRequest
             The request.
         deadline : float
-            Monotonic seconds after which no answer is awaited.
+            Monotonic seconds after which no response is awaited.
 
         Returns
         -------
-        (ParsedAnswer, ResponseMetadata)
+        (ParsedResponse, ResponseMetadata)
 
         Raises
         ------
         NotRun
             No byte of the request left this process.
         OutcomeUnknown
-            It may have run; no answer arrived.
+            It may have run; no response arrived.
         IncompleteAnswer
-            Its answer was cut or spoiled.
+            Its response was truncated, malformed or too long.
         """
-        attempt = _Attempt(self, send)
-        limit_s = max(MIN_LIMIT_S, deadline - self._monotonic())
-        timer = gevent.Timeout(limit_s)
+        attempt = _Attempt(self, req)
+        timeout_s = max(MIN_TIMEOUT_S, deadline - self._monotonic())
+        timer = gevent.Timeout(timeout_s)
         try:
             timer.start()
-            return attempt.run(self._encode(send))
+            return attempt.run(self._encode(req))
         except gevent.Timeout as exc:
             if exc is not timer:
                 raise
-            kind = OutcomeUnknown if attempt.sent else NotRun
-            raise kind("no answer before the deadline", "await", self.name) from exc
+            error = OutcomeUnknown if attempt.sent else NotRun
+            raise error("no response before the deadline", "await", self.name) from exc
         finally:
             timer.close()
             attempt.close()
 
     def acquire(self, idempotent, request_id):
-        """Return a connection for a request.
+        """Return a connection for a request: an idle one that fits, or a new one.
 
         Parameters
         ----------
         idempotent : bool
-            Whether a connection that was idle for long may be used.
+            Whether a connection that has been idle for longer may be used.
         request_id : str
-            Identity of the request; empty if it has none.
+            Identifier of the request; empty if it has none.
 
         Returns
         -------
@@ -175,42 +176,42 @@
         now = self._monotonic()
         while self.idle and request_id:
             idle = self.idle.pop()
-            limit_s = idle.limit_s if idempotent else CAREFUL_IDLE_S
-            kept = idle.connection
-            in_time = now - idle.since <= min(limit_s, idle.limit_s)
-            if in_time and kept.fits(request_id) and not readable_now(kept.sock):
-                self.limiter.leave_idle(kept.sock)
-                return kept
-            kept.close()
+            max_idle_s = idle.max_idle_s if idempotent else NON_IDEMPOTENT_IDLE_S
+            conn = idle.connection
+            recent = now - idle.since <= min(max_idle_s, idle.max_idle_s)
+            if recent and conn.can_match(request_id) and not is_readable(conn.sock):
+                self.limiter.remove_idle(conn.sock)
+                return conn
+            conn.close()
         try:
-            sock = self.limiter.connect(self.place, CONNECT_TIMEOUT_S)
+            sock = self.limiter.connect(self.address, CONNECT_TIMEOUT_S)
         except OSError as exc:
-            raise failure(exc, self.name) from exc
+            raise connect_error(exc, self.name) from exc
         self.opened_count += 1
         self.connect_s = self._monotonic() - now
         return EndpointConnection(sock)
 
-    def give_back(self, connection, keep_alive_s):
-        """Keep a connection for another request.
+    def release(self, connection, keep_alive_s):
+        """Return a connection to the pool, or close it if the pool is full or closed.
 
         Parameters
         ----------
         connection : EndpointConnection
             The connection.
         keep_alive_s : float or None
-            Seconds for which the endpoint keeps it, if it said so.
+            Seconds for which the endpoint keeps it open, if it says so.
         """
-        if self._closed or len(self.idle) >= MOST_IDLE:
+        if self._closed or len(self.idle) >= MAX_IDLE_CONNECTIONS:
             connection.close()
             return
-        limit_s = IDLE_LIMIT_S
+        max_idle_s = MAX_IDLE_S
         if keep_alive_s is not None:
-            limit_s = min(limit_s, keep_alive_s - KEEP_ALIVE_MARGIN_S)
-        self.idle.append(_Idle(connection, self._monotonic(), limit_s))
-        self.limiter.enter_idle(connection.sock, self.idle)
+            max_idle_s = min(max_idle_s, keep_alive_s - KEEP_ALIVE_MARGIN_S)
+        self.idle.append(_IdleConnection(connection, self._monotonic(), max_idle_s))
+        self.limiter.add_idle(connection.sock, self.idle)
 
     def close(self):
-        """Close idle connections; those in use close when their answers end."""
+        """Close idle connections; those in use are closed after their responses."""
         self._closed = True
         while self.idle:
             self.idle.pop().connection.close()
@@ -218,160 +219,166 @@
     def close_stale(self):
         """Close connections that have been idle for too long."""
         now = self._monotonic()
-        while self.idle and now - self.idle[0].since > self.idle[0].limit_s:
+        while self.idle and now - self.idle[0].since > self.idle[0].max_idle_s:
             self.idle.popleft().connection.close()
 
-    def parse_response(self, answer):
-        """Return what an answer's headers say.
+    def parse_response(self, response):
+        """Return the metadata in the headers of a response.
 
         Parameters
         ----------
-        answer : ParsedAnswer
-            The answer.
+        response : ParsedResponse
+            The response.
 
         Returns
         -------
         ResponseMetadata
         """
-        return self._parse_response(answer.status, answer.headers)
+        return self._parse_response(response.status, response.headers)
 
-    def _encode(self, send):
-        headers = dict(send.headers)
-        if send.body:
-            headers["Content-Length"] = str(len(send.body))
+    def _encode(self, req):
+        headers = dict(req.headers)
+        if req.body:
+            headers["Content-Length"] = str(len(req.body))
         if self._http is None:
-            host, port = self.place
+            host, port = self.address
             self._http = HTTPClient(host, port=port, disable_ipv6=True)
         try:
             text = self._http._build_request(
-                send.method, send.target, b"", headers, chunked=False
+                req.method, req.target, b"", headers, chunked=False
             )
-            return text.encode("latin-1") + send.body
+            return text.encode("latin-1") + req.body
         except (ValueError, UnicodeError) as exc:
             raise NotRun(str(exc), step="build request", peer=self.name) from exc
 
 
 class _Attempt:
-    """One request on one connection."""
+    """One attempt to send a request, on one connection."""
 
-    def __init__(self, client, send):
+    def __init__(self, client, req):
         self.sent = False
         self._client = client
-        self._exchange = send
-        self._connection = None
+        self._req = req
+        self._conn = None
         self._sender = None
-        self._taken = 0
+        self._reserved_bytes = 0
 
     def run(self, raw):
-        request_id = self._exchange.request_id
-        self._connection = self._client.acquire(self._exchange.idempotent, request_id)
-        if self._connection.fresh:
-            self._check_new()
+        request_id = self._req.request_id
+        self._conn = self._client.acquire(self._req.idempotent, request_id)
+        if self._conn.unused:
+            self._check_new_connection()
         self.sent = True
-        self._connection.begin(request_id)
+        self._conn.record_request(request_id)
         self._send(raw)
-        parser = AnswerParser(self._exchange.method)
-        answer, facts = self._receive(parser)
-        named = request_id != "" and facts.request_id == request_id
-        if answer.reusable and named and self._clear(parser):
-            self._client.give_back(self._connection, facts.keep_alive_s)
-            self._connection = None
-        self._taken = 0  # the answer is held until the caller has it
-        return answer, facts
+        parser = ResponseParser(self._req.method)
+        response, metadata = self._receive(parser)
+        echoed = request_id != "" and metadata.request_id == request_id
+        if response.reusable and echoed and self._is_reusable(parser):
+            self._client.release(self._conn, metadata.keep_alive_s)
+            self._conn = None
+        self._reserved_bytes = 0  # stays reserved until the caller has the response
+        return response, metadata
 
     def close(self):
         if self._sender is not None:
             self._sender.kill()
-        if self._connection is not None:
-            self._connection.close()
-        if self._taken:
-            self._exchange.hold.give_back(self._taken)
-
-    def _check_new(self):
-        """Raise if the request need not or must not go out on a new connection."""
-        if self._exchange.check_wanted is not None:
-            self._exchange.check_wanted()
-        if readable_now(self._connection.sock):
-            # Neither bytes nor an end can be an answer to what was not sent.
-            raise NotRun("endpoint spoke first", "connect", self._client.name)
-
-    def _clear(self, parser):
-        """Return whether all was sent and nothing follows the answer."""
+        if self._conn is not None:
+            self._conn.close()
+        if self._reserved_bytes:
+            self._req.reservation.release(self._reserved_bytes)
+
+    def _check_new_connection(self):
+        """Raise if the request need not or must not be sent on a new connection."""
+        if self._req.before_send is not None:
+            self._req.before_send()
+        if is_readable(self._conn.sock):
+            # Neither bytes nor a close can respond to a request that was not sent.
+            raise NotRun("data or close before request", "connect", self._client.name)
+
+    def _is_reusable(self, parser):
+        """Return whether all was sent and nothing follows the response."""
         unsent = self._sender is not None and not self._sender.ready()
-        more = bool(parser.answers) or not parser.clean()
-        return not unsent and not more and not readable_now(self._connection.sock)
+        excess = bool(parser.responses) or not parser.between_responses()
+        return not unsent and not excess and not is_readable(self._conn.sock)
 
     def _send(self, raw):
-        if len(raw) <= INLINE_BODY_BYTES:
-            _send_quietly(self._connection.sock, raw)
+        if len(raw) <= MAX_INLINE_BYTES:
+            _send_all(self._conn.sock, raw)
         else:
-            # The endpoint may answer before it has read the body.
-            self._sender = gevent.spawn(_send_quietly, self._connection.sock, raw)
+            # The endpoint may respond before it has read the body.
+            self._sender = gevent.spawn(_send_all, self._conn.sock, raw)
 
     def _receive(self, parser):
-        name, request_id = self._client.name, self._exchange.request_id
+        name, request_id = self._client.name, self._req.request_id
         while True:
-            answers, parser.answers = parser.answers, []
-            told = [self._client.parse_response(answer) for answer in answers]
-            names = [facts.request_id for facts in told]
-            index = self._connection.own(request_id, names)
+            responses, parser.responses = parser.responses, []
+            found = [self._client.parse_response(response) for response in responses]
+            response_ids = [metadata.request_id for metadata in found]
+            index = self._conn.match_response(request_id, response_ids)
             if index is not None:
-                parser.answers = answers[index + 1 :]
-                _check_agreed(told, index, name)
-                return answers[index], told[index]
+                parser.responses = responses[index + 1 :]
+                _check_consistent(found, index, name)
+                return responses[index], found[index]
             self._read_more(parser, name)
 
     def _read_more(self, parser, name):
         data = b""
         try:
             self._await_bytes(parser, name)
-            data = self._connection.sock.recv(READ_BYTES)
-            self._count(data, parser, name)
+            data = self._conn.sock.recv(READ_BYTES)
+            self._reserve(data, parser, name)
             parser.feed(data)
         except OSError as exc:
-            kind = IncompleteAnswer if parser.received else OutcomeUnknown
-            raise kind(str(exc), "read", name) from exc
+            error = IncompleteAnswer if parser.received_bytes else OutcomeUnknown
+            raise error(str(exc), "read", name) from exc
         except HTTPParseError as exc:
-            kind = IncompleteAnswer if parser.received else OutcomeUnknown
-            raise kind(f"not an answer: {exc}", "read", name) from exc
-        if not data and not parser.answers:
-            kind = IncompleteAnswer if parser.received else OutcomeUnknown
-            raise kind("connection was closed", "read", name)
-
-    def _count(self, data, parser, name):
-        """Count bytes before they are parsed; raise if they are too many."""
-        hold, size = self._exchange.hold, parser.received + len(data)
-        most = MOST_ANSWER_BYTES if hold is None else hold.whole.max_response_bytes
-        if size > most or parser.overlong():
-            raise IncompleteAnswer("answer is too long", "read", name)
-        if hold is None:
+            error = IncompleteAnswer if parser.received_bytes else OutcomeUnknown
+            raise error(f"malformed response: {exc}", "read", name) from exc
+        if not data and not parser.responses:
+            error = IncompleteAnswer if parser.received_bytes else OutcomeUnknown
+            raise error("endpoint closed the connection", "read", name)
+
+    def _reserve(self, data, parser, name):
+        """Reserve memory for bytes before they are parsed; raise if too many."""
+        reservation, size = self._req.reservation, parser.received_bytes + len(data)
+        limit = (
+            MAX_RESPONSE_BYTES
+            if reservation is None
+            else reservation.budget.max_response_bytes
+        )
+        if size > limit or parser.exceeds_overhead():
+            raise IncompleteAnswer("response is too long", "read", name)
+        if reservation is None:
             return
-        if not hold.take(len(data)):
-            raise IncompleteAnswer("no memory for the answer", "read", name)
-        self._taken += len(data)
+        if not reservation.try_reserve(len(data)):
+            raise IncompleteAnswer("no memory for the response", "read", name)
+        self._reserved_bytes += len(data)
 
     def _await_bytes(self, parser, name):
-        hopeless = self._exchange.hopeless
-        while hopeless is not None and (not parser.received or parser.clean()):
+        abandon = self._req.should_abandon
+        while abandon is not None and (
+            not parser.received_bytes or parser.between_responses()
+        ):
             try:
-                gevent.socket.wait_read(self._connection.sock.fileno(), timeout=LOOK_S)
+                gevent.socket.wait_read(self._conn.sock.fileno(), timeout=POLL_S)
                 return
             except TimeoutError:
-                if hopeless():
-                    message = "endpoint answers nobody"
+                if abandon():
+                    message = "endpoint is unresponsive"
                     raise OutcomeUnknown(message, "await", name) from None
 
 
-def _check_agreed(told, index, name):
-    """Raise if an endpoint refused a request and answered it as well."""
-    facts = told[index]
-    same = [other for other in told if other.request_id == facts.request_id]
-    if any(other.not_run != facts.not_run for other in same):
-        raise IncompleteAnswer("endpoint refused and answered", "match", name)
+def _check_consistent(found, index, name):
+    """Raise if an endpoint rejected a request and responded to it as well."""
+    matched = found[index]
+    same = [other for other in found if other.request_id == matched.request_id]
+    if any(other.not_run != matched.not_run for other in same):
+        raise IncompleteAnswer("request both rejected and served", "match", name)
 
 
-def _send_quietly(sock, raw):
-    """Send; a connection that breaks is noticed where the answer is read."""
+def _send_all(sock, raw):
+    """Send; a broken connection is noticed when the response is read."""
     try:
         sock.sendall(raw)
     except OSError:
@@ -379,12 +386,12 @@
 
 
 def create_endpoint_client(name, host, port, parse_response, monotonic):
-    """Return the connections to one endpoint.
+    """Return a client of one endpoint.
 
     Parameters
     ----------
     name, host, port, parse_response, monotonic
-        As of `EndpointClient`.
+        See `EndpointClient`.
 
     Returns
     -------
--- a/quetzalwall/connection/endpoint_connection.py
+++ b/quetzalwall/connection/endpoint_connection.py
@@ -1,15 +1,15 @@
-"""A connection to an endpoint, and which of its answers belongs to a request.
+"""A connection to an endpoint, and the matching of responses to requests on it.
 
-Endpoints in trouble write answers more than once. Only an answer that is proved to be
-a request's own tells what became of it: it names the request on a connection that has
-not carried that name before, or it names none and is the first on its connection.
+A faulty endpoint may respond more than once. A response is matched to a request only
+if it names the request and the connection has not carried that identifier before, or
+if it names none and is the first on its connection.
 """
 
 from collections import deque
 
 __all__ = ["EndpointConnection"]
 
-RECENT = 16  # callers name each request anew, so that few are worth their memory
+MAX_RECENT_IDS = 16  # callers seldom reuse an identifier; more would waste memory
 
 
 class EndpointConnection:
@@ -17,70 +17,72 @@
 
     Parameters
     ----------
-    sock : FairSocket
+    sock : YieldingSocket
         The open connection.
 
     Attributes
     ----------
-    sock : FairSocket
+    sock : YieldingSocket
         The open connection.
     """
 
     def __init__(self, sock):
         self.sock = sock
-        self._recent = deque(maxlen=RECENT)
-        self._answered = False
+        self._recent_ids = deque(maxlen=MAX_RECENT_IDS)
+        self._response_seen = False
 
     @property
-    def fresh(self):
-        """Whether it has carried no request yet."""
-        return not self._recent
+    def unused(self):
+        """Whether the connection has not carried a request yet."""
+        return not self._recent_ids
 
-    def fits(self, request_id):
-        """Return whether an answer could be told to be that of a request.
+    def can_match(self, request_id):
+        """Return whether a response to a request could be told from others.
 
         Parameters
         ----------
         request_id : str
-            Identity of the request; empty if it has none.
+            Identifier of the request; empty if it has none.
 
         Returns
         -------
         bool
         """
-        return self.fresh or (request_id != "" and request_id not in self._recent)
+        return self.unused or (request_id != "" and request_id not in self._recent_ids)
 
-    def begin(self, request_id):
-        """Note that a request is about to be sent.
+    def record_request(self, request_id):
+        """Record that a request is about to be sent.
 
         Parameters
         ----------
         request_id : str
-            Identity of the request; empty if it has none.
+            Identifier of the request; empty if it has none.
         """
-        self._recent.append(request_id)
+        self._recent_ids.append(request_id)
 
-    def own(self, request_id, names):
-        """Return which answer is that of the request that was begun last.
+    def match_response(self, request_id, response_ids):
+        """Return the index of the response to the current request.
 
         Parameters
         ----------
         request_id : str
-            Identity of the request; empty if it has none.
-        names : sequence of (str or None)
-            Identities that the answers name, in the order in which they arrived.
+            Identifier of the request; empty if it has none.
+        response_ids : sequence of (str or None)
+            Request identifiers that the responses name, in the order of arrival.
 
         Returns
         -------
         int or None
+            None if no response matches.
         """
-        first = not self._answered
-        self._answered = self._answered or bool(names)
-        if request_id and request_id in names:
-            return names.index(request_id)
-        # Later ones may answer an earlier request or nothing, refusals too.
-        return 0 if first and names and not names[0] else None
+        first = not self._response_seen
+        self._response_seen = self._response_seen or bool(response_ids)
+        if request_id and request_id in response_ids:
+            return response_ids.index(request_id)
+        # A later response without an identifier, also a rejection, may belong to an
+        # earlier request or to none.
+        return 0 if first and response_ids and not response_ids[0] else None
 
     def close(self):
-        """Close it."""
+        """Close the connection."""
         self.sock.close()
--- a/quetzalwall/connection/front_server.py
+++ b/quetzalwall/connection/front_server.py
@@ -1,4 +1,4 @@
-"""HTTP server for callers: hands each request over with its connection."""
+"""HTTP server for callers, and its WSGI application."""
 
 import errno
 
@@ -17,12 +17,12 @@
 
 SOCKET_KEY = "quetzalwall.socket"
 TARGET_KEY = "quetzalwall.target"
-HOLD_KEY = "quetzalwall.hold"
+RESERVATION_KEY = "quetzalwall.hold"
 LOG = get_logger("front-server")
 
 
 class FrontHandler(QuietHandler):
-    """Handler that lets the application see its connection."""
+    """Handler that passes the socket and the raw target to the application."""
 
     def get_environ(self):
         """Return the WSGI environment of a request.
@@ -37,27 +37,27 @@
         return environ
 
 
-class _Body(list):
-    """An answer's body, counted as held until the server has sent it."""
+class _AccountedBody(list):
+    """Response body whose memory stays reserved until the server has sent it."""
 
-    def __init__(self, body, hold):
+    def __init__(self, body, reservation):
         super().__init__([body])
-        self.close = hold.close
+        self.close = reservation.close
 
 
-def create_front_application(serve, malformed, stopping, held):
+def create_front_application(serve, bad_request, is_stopping, memory_budget):
     """Return the WSGI application for callers.
 
     Parameters
     ----------
     serve : callable
-        From a WSGI environment to an `Response`.
-    malformed : callable
-        From a `BadRequest` to an `Response`.
-    stopping : callable
-        Whether connections should end after their answers.
-    held : MemoryBudget
-        Counts the bytes of requests and answers.
+        From a WSGI environment to a `Response`.
+    bad_request : callable
+        From a `BadRequest` to a `Response`.
+    is_stopping : callable
+        Whether to close each connection after its response.
+    memory_budget : MemoryBudget
+        Limits the memory of request and response bodies.
 
     Returns
     -------
@@ -65,22 +65,28 @@
     """
 
     def application(environ, start_response):
-        hold = environ[HOLD_KEY] = held.open()
+        reservation = environ[RESERVATION_KEY] = memory_budget.open_reservation()
         try:
-            answer = answer_to(environ)
+            response = respond(environ)
         except BaseException:
-            hold.close()
+            reservation.close()
             raise
-        _start(start_response, answer.status, answer.headers, answer.body, stopping())
-        return _Body(answer.body, hold)
-
-    def answer_to(environ):
+        _start_response(
+            start_response,
+            response.status,
+            response.headers,
+            response.body,
+            is_stopping(),
+        )
+        return _AccountedBody(response.body, reservation)
+
+    def respond(environ):
         try:
             return serve(environ)
         except BadRequest as exc:
-            return malformed(exc)
+            return bad_request(exc)
         except CallerLeft as exc:
-            # The server then closes the connection without an answer.
+            # The server then closes the connection without a response.
             raise ConnectionResetError(errno.ECONNRESET, str(exc)) from exc
         except Exception as exc:
             log_event(LOG, "failed", "error", **describe_failure(exc))
@@ -89,30 +95,30 @@
     return application
 
 
-def _start(start_response, status, headers, body, closing):
+def _start_response(start_response, status, headers, body, close_connection):
     headers = list(headers)
     if status not in (204, 304):
         headers.append(("Content-Length", str(len(body))))
-    if closing and ("Connection", "close") not in headers:
+    if close_connection and ("Connection", "close") not in headers:
         headers.append(("Connection", "close"))
     start_response(status_line(status), headers)
 
 
-def create_front_server(place, application, max_connections):
+def create_front_server(address, application, max_connections):
     """Return the server for callers, not yet started.
 
     Parameters
     ----------
-    place : (str, int)
-        IP number and port.
+    address : (str, int)
+        IP address and port.
     application : callable
         WSGI application.
     max_connections : int
-        Connections open at once; further ones wait to be accepted.
+        Maximum number of open connections; further ones wait to be accepted.
 
     Returns
     -------
     NoDelayServer
     """
     limits = HttpLimits(max_connections=max_connections)
-    return create_server(*place, application, limits, handler=FrontHandler)
+    return create_server(*address, application, limits, handler=FrontHandler)
--- a/quetzalwall/connection/http_server.py
+++ b/quetzalwall/connection/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP server of a process: routing by path, limits on input, JSON answers."""
+"""HTTP servers of a process: limits on connections and input, JSON responses."""
 
 import time
 from typing import NamedTuple
@@ -42,23 +42,23 @@
     504: "504 Gateway Timeout",
 }
 STALL_TIMEOUT_S = 60.0  # for a caller that neither sends nor reads
-SMALL_BYTES = 8 * 1024
-SHARE_REQUESTS = 32  # of one connection, before other tasks run
+MAX_COALESCED_BYTES = 8 * 1024  # larger bodies are sent apart from the head
+YIELD_AFTER_REQUESTS = 32  # on one connection
 
 
 class HttpLimits(NamedTuple):
-    """Limits on what a server accepts.
+    """Limits of a server.
 
     Attributes
     ----------
     max_connections : int
-        Connections open at once.
-    json_bytes : int
-        Length of a body in JSON.
+        Maximum number of open connections.
+    max_json_bytes : int
+        Maximum length of a JSON body.
     """
 
     max_connections: int = 4000
-    json_bytes: int = 4 * 1024 * 1024
+    max_json_bytes: int = 4 * 1024 * 1024
 
 
 class BadRequest(Exception):
@@ -69,7 +69,7 @@
     status : int
         HTTP status, 400 to 499.
     message : str
-        What is wrong with it.
+        What is wrong with the request.
     """
 
     def __init__(self, status, message):
@@ -79,10 +79,10 @@
 
 
 class QuietHandler(WSGIHandler):
-    """Handler that keeps requests out of the log and closes stalled connections."""
+    """Handler without an access log that closes stalled connections."""
 
-    _held = None
-    _requests = 0
+    _pending = None
+    _request_count = 0
 
     def handle(self):
         """Serve one connection."""
@@ -90,43 +90,43 @@
         super().handle()
 
     def log_request(self):
-        """Write nothing: each request has its own decision line."""
+        """Log nothing: the application logs its decision for each request."""
 
     def read_requestline(self):
-        """Return the next request line, or an empty one when none comes in time.
+        """Return the next request line, or an empty one after a time-out.
 
         Returns
         -------
         str
         """
-        self._requests += 1
+        self._request_count += 1
         idle = self.server.idle
-        if self._requests % SHARE_REQUESTS == 0:
-            # Requests that are answered here may come without end and without a wait.
+        if self._request_count % YIELD_AFTER_REQUESTS == 0:
+            # Requests that are served without waiting may follow each other endlessly.
             gevent.sleep(YIELD_SLEEP_S)
-        idle.enter(self.socket)
+        idle.add(self.socket)
         try:
             return super().read_requestline()
         except TimeoutError:
             return ""
         finally:
-            idle.leave(self.socket)
+            idle.remove(self.socket)
 
     def _write_with_headers(self, data):
-        # The library sends head and body apart; a small answer goes in one segment.
-        if len(data) > SMALL_BYTES:
+        # The library sends head and body apart; small ones are sent in one segment.
+        if len(data) > MAX_COALESCED_BYTES:
             super()._write_with_headers(data)
             return
-        self._held = bytearray()
+        self._pending = bytearray()
         super()._write_with_headers(data)
-        held, self._held = self._held, None
-        self._sendall(held)
+        pending, self._pending = self._pending, None
+        self._sendall(pending)
 
     def _sendall(self, data):
-        if self._held is None:
+        if self._pending is None:
             super()._sendall(data)
         else:
-            self._held += data
+            self._pending += data
 
 
 def create_server(address, port, application, limits=None, handler=QuietHandler):
@@ -135,20 +135,20 @@
     Parameters
     ----------
     address : str
-        IP number to listen on.
+        IP address to listen on.
     port : int
-        TCP port to listen on; 0 takes a free one.
+        TCP port to listen on; 0 selects a free one.
     application : callable
         WSGI application.
     limits : HttpLimits, default=None
         Limits on input; the defaults if None.
     handler : type, default=QuietHandler
-        Class of the handler of one connection.
+        Class that handles a connection.
 
     Returns
     -------
     NoDelayServer
-        Its ``start`` and ``stop`` methods begin and end service.
+        Call ``start`` and ``stop`` to begin and end service.
     """
     limits = limits or HttpLimits()
     server = NoDelayServer(
@@ -164,7 +164,7 @@
 
 
 def status_line(status):
-    """Return the status line of any HTTP status.
+    """Return the status code and reason phrase of any HTTP status.
 
     Parameters
     ----------
@@ -179,12 +179,12 @@
 
 
 def json_response(start_response, status, body, headers=()):
-    """Send one answer in JSON.
+    """Send a response in JSON.
 
     Parameters
     ----------
     start_response : callable
-        From the WSGI server.
+        As passed by the WSGI server.
     status : int
         HTTP status.
     body : object
@@ -198,13 +198,16 @@
         The body, for the WSGI server.
     """
     raw = msgspec.json.encode(body, order="sorted")
-    fixed = [("Content-Type", "application/json"), ("Content-Length", str(len(raw)))]
-    start_response(STATUS_TEXT[status], [*fixed, *headers])
+    base_headers = [
+        ("Content-Type", "application/json"),
+        ("Content-Length", str(len(raw))),
+    ]
+    start_response(STATUS_TEXT[status], [*base_headers, *headers])
     return [raw]
 
 
 def read_json(environ, limits=None):
-    """Return the decoded body of a request.
+    """Return the decoded JSON body of a request.
 
     Parameters
     ----------
@@ -226,8 +229,8 @@
     length = environ.get("CONTENT_LENGTH")
     if not length:
         raise BadRequest(411, "a body with Content-Length is required")
-    if not length.isdigit() or int(length) > limits.json_bytes:
-        raise BadRequest(413, f"body is longer than {limits.json_bytes} bytes")
+    if not length.isdigit() or int(length) > limits.max_json_bytes:
+        raise BadRequest(413, f"body is longer than {limits.max_json_bytes} bytes")
     raw = environ["wsgi.input"].read(int(length))
     try:
         return msgspec.json.decode(raw)
--- a/quetzalwall/connection/idle_connections.py
+++ b/quetzalwall/connection/idle_connections.py
@@ -1,17 +1,17 @@
-"""Connections that wait for a request, and room for others when there are too many."""
+"""Idle connections of a server, and their eviction when it runs out of connections."""
 
 import gevent.socket
 
-from quetzalwall.connection.nodelay import readable_now
+from quetzalwall.connection.nodelay import is_readable
 
 __all__ = ["IdleConnections"]
 
-LEAST_IDLE_S = 1.0  # a caller that has just connected or been answered may go on
-SPARE_PART = 0.05  # of a server's connections, free for new callers
+MIN_IDLE_S = 1.0  # a caller that just connected or got a response may send a request
+SPARE_FRACTION = 0.05  # of a server's connections, kept free for new callers
 
 
 class IdleConnections:
-    """Connections of a server on which no request is under way, oldest first.
+    """Connections of a server that are waiting for a request, longest idle first.
 
     Parameters
     ----------
@@ -26,58 +26,61 @@
     def __len__(self):
         return len(self._since)
 
-    def enter(self, sock):
-        """Note that a connection begins to wait for a request.
+    def add(self, sock):
+        """Record that a connection starts to wait for a request.
 
         Parameters
         ----------
-        sock : FairSocket
+        sock : YieldingSocket
             The connection.
         """
         self._since[sock] = self._monotonic()
 
-    def leave(self, sock):
-        """Note that a request comes, or that the connection ends.
+    def remove(self, sock):
+        """Record that a request arrived on a connection, or that it was closed.
 
         Parameters
         ----------
-        sock : FairSocket
+        sock : YieldingSocket
             The connection.
         """
         self._since.pop(sock, None)
 
-    def evict(self, pool, spare_fraction=SPARE_PART, min_idle_s=LEAST_IDLE_S):
-        """End the oldest idle connections if a server has no room for new ones.
+    def evict(self, pool, spare_fraction=SPARE_FRACTION, min_idle_s=MIN_IDLE_S):
+        """Shut down the longest idle connections if too few are left for new callers.
 
         Parameters
         ----------
         pool : gevent.pool.Pool
             Tasks of the server's connections.
-        spare_fraction : float, default=SPARE_PART
-            Part of the server's connections that is to be free.
-        min_idle_s : float, default=LEAST_IDLE_S
-            Seconds for which those that end have been idle.
+        spare_fraction : float, default=SPARE_FRACTION
+            Fraction of the server's connections to keep free; at least one.
+        min_idle_s : float, default=MIN_IDLE_S
+            Connections that have been idle for less, in seconds, stay.
 
         Returns
         -------
         int
-            Connections that end.
+            Number of connections shut down.
         """
-        wanted = max(1, int(pool.size * spare_fraction)) - pool.free_count()
-        if wanted <= 0:
+        shortfall = max(1, int(pool.size * spare_fraction)) - pool.free_count()
+        if shortfall <= 0:
             return 0
-        ended = 0
+        shut_down = 0
         for sock, since in list(self._since.items()):
-            if ended >= wanted or self._monotonic() - since < min_idle_s:
+            if shut_down >= shortfall or self._monotonic() - since < min_idle_s:
                 break
-            ended += self._end(sock)
-        return ended
+            shut_down += self._shut_down(sock)
+        return shut_down
 
-    def _end(self, sock):
-        """Have a connection's task read its end; a request on its way is served."""
-        self.leave(sock)
+    def _shut_down(self, sock):
+        """Shut down reading, so that the connection's task sees its end.
+
+        A connection on which a request has arrived is left alone.
+        """
+        self.remove(sock)
         try:
-            if readable_now(sock):
+            if is_readable(sock):
                 return False
             sock.shutdown(gevent.socket.SHUT_RD)
         except OSError:
--- a/quetzalwall/connection/json_client.py
+++ b/quetzalwall/connection/json_client.py
@@ -1,4 +1,4 @@
-"""Calls between processes: one JSON request, one JSON answer."""
+"""Client for calls between processes: JSON requests and responses over HTTP."""
 
 from typing import NamedTuple
 
@@ -11,32 +11,32 @@
 
 __all__ = ["JsonResponse", "JsonClient", "create_json_client"]
 
-MAX_ANSWER_BYTES = 16 * 1024 * 1024  # the store sends 1 MB a page
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024  # the store sends pages of 1 MB
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
 class JsonResponse(NamedTuple):
-    """Status code and decoded body of an answer."""
+    """Status code and decoded body of a response."""
 
     status: int
     body: object
 
 
 class JsonClient:
-    """Client of one peer that speaks JSON over HTTP.
+    """Client of one peer, for JSON over HTTP.
 
     Parameters
     ----------
     host : str
-        IP number of the peer.
+        IP address of the peer.
     port : int
         TCP port of the peer.
     peer : str
-        Name of the peer in errors.
+        Name of the peer, for error messages.
     timeout_s : float, default=1.0
-        Seconds that a whole call may take.
+        Seconds that a complete call may take.
     size : int, default=8
-        Connections at most.
+        Maximum number of connections.
     """
 
     def __init__(self, host, port, peer, timeout_s=1.0, size=8):
@@ -47,7 +47,7 @@
         )
 
     def call(self, method, target, body=None, headers=None, timeout_s=None):
-        """Send one request and return the decoded answer.
+        """Send one request and return the decoded response.
 
         Parameters
         ----------
@@ -60,7 +60,7 @@
         headers : dict, default=None
             Further headers.
         timeout_s : float, default=None
-            Seconds that the whole call may take; the client's own if None.
+            Seconds that the complete call may take; the client's default if None.
 
         Returns
         -------
@@ -69,7 +69,7 @@
         Raises
         ------
         PeerError
-            No complete answer in JSON arrived in time; the request may have taken
+            No complete JSON response arrived in time; the request may have taken
             effect.
         """
         limit_s = self.timeout_s if timeout_s is None else timeout_s
@@ -78,13 +78,13 @@
         timeout = gevent.Timeout(limit_s)
         timeout.start()
         try:
-            return self._exchange(req, limit_s, target)
+            return self._send(req, limit_s, target)
         except gevent.Timeout as exc:
             if exc is not timeout:
                 raise
-            # What made this connection fall silent may have hit the others as well.
+            # The cause of the time-out may have affected the idle connections too.
             self._http.close_idle()
-            raise PeerError(f"no answer in {limit_s} s", target, self.peer) from exc
+            raise PeerError(f"no response in {limit_s} s", target, self.peer) from exc
         finally:
             timeout.close()
 
@@ -92,7 +92,7 @@
         """Close all connections."""
         self._http.close()
 
-    def _exchange(self, req, limit_s, target):
+    def _send(self, req, limit_s, target):
         try:
             res = self._http.send(req, limit_s)
             raw = _read_bounded(res)
@@ -102,14 +102,14 @@
             decoded = msgspec.json.decode(raw) if raw else None
             return JsonResponse(res.status_code, decoded)
         except msgspec.DecodeError as exc:
-            raise PeerError("answer is not JSON", target, self.peer) from exc
+            raise PeerError("response is not JSON", target, self.peer) from exc
 
 
 def _read_bounded(res):
     try:
-        raw = res.read(MAX_ANSWER_BYTES)
+        raw = res.read(MAX_RESPONSE_BYTES)
         if not res.message_complete:
-            raise OSError(f"answer is longer than {MAX_ANSWER_BYTES} bytes")
+            raise OSError(f"response is longer than {MAX_RESPONSE_BYTES} bytes")
         return raw
     finally:
         res.release()
@@ -121,7 +121,7 @@
     Parameters
     ----------
     host, port, peer, timeout_s, size
-        As of `JsonClient`.
+        See `JsonClient`.
 
     Returns
     -------
--- a/quetzalwall/connection/memory_budget.py
+++ b/quetzalwall/connection/memory_budget.py
@@ -1,36 +1,36 @@
-"""Limit on the bytes of requests and answers that a process holds at one time."""
+"""Limit on the memory that bodies of requests and responses occupy in a process."""
 
 __all__ = ["Reservation", "MemoryBudget"]
 
-ANSWER_PART = 0.25  # of all, for one answer, so that it does not starve others
+MAX_RESPONSE_FRACTION = 0.25  # of the capacity, so that others are not starved
 
 
 class MemoryBudget:
-    """Bytes of all requests under way in a process.
+    """Memory for the bodies of all open requests of a process.
 
     Parameters
     ----------
     capacity : int
-        Most bytes held at one time.
+        Maximum number of bytes reserved at one time.
 
     Attributes
     ----------
-    held : int
-        Bytes held now.
-    requests : int
-        Requests under way, until their answers have been sent.
+    used_bytes : int
+        Bytes reserved now.
+    open_requests : int
+        Requests whose responses have not been sent completely.
     max_response_bytes : int
-        Most bytes of one answer.
+        Maximum length of one response.
     """
 
     def __init__(self, capacity):
         self.capacity = capacity
         self.used_bytes = 0
         self.open_requests = 0
-        self.max_response_bytes = int(capacity * ANSWER_PART)
+        self.max_response_bytes = int(capacity * MAX_RESPONSE_FRACTION)
 
-    def open(self):
-        """Return the share of a request, which has to be closed.
+    def open_reservation(self):
+        """Return the reservation of a new request, which the caller has to close.
 
         Returns
         -------
@@ -41,51 +41,51 @@
 
 
 class Reservation:
-    """Bytes that one request holds: its body, and answers to it.
+    """Memory reserved by one request: for its body, and for responses to it.
 
     Parameters
     ----------
-    whole : MemoryBudget
-        Those of the process.
+    budget : MemoryBudget
+        The budget of the process.
     """
 
-    def __init__(self, whole):
-        self.whole = whole
-        self._own = 0
-        self._open = True
+    def __init__(self, budget):
+        self.budget = budget
+        self._reserved_bytes = 0
+        self._is_open = True
 
-    def take(self, size):
-        """Count more bytes if there is room for them.
+    def try_reserve(self, size):
+        """Reserve more bytes if the budget has room for them.
 
         Parameters
         ----------
         size : int
-            Bytes.
+            Number of bytes.
 
         Returns
         -------
         bool
-            Whether there is room.
+            Whether the bytes were reserved.
         """
-        if self.whole.used_bytes + size > self.whole.capacity:
+        if self.budget.used_bytes + size > self.budget.capacity:
             return False
-        self.whole.used_bytes += size
-        self._own += size
+        self.budget.used_bytes += size
+        self._reserved_bytes += size
         return True
 
-    def give_back(self, size):
-        """Count bytes no more.
+    def release(self, size):
+        """Give bytes back to the budget.
 
         Parameters
         ----------
         size : int
-            Bytes that were taken.
+            Number of bytes, at most those reserved.
         """
-        self.whole.used_bytes -= size
-        self._own -= size
+        self.budget.used_bytes -= size
+        self._reserved_bytes -= size
 
     def close(self):
-        """Count the request and its bytes no more."""
-        self.give_back(self._own)
-        self.whole.open_requests -= self._open
-        self._open = False
+        """Give all bytes back and end the request; further calls do nothing."""
+        self.release(self._reserved_bytes)
+        self.budget.open_requests -= self._is_open
+        self._is_open = False
--- a/quetzalwall/connection/nodelay.py
+++ b/quetzalwall/connection/nodelay.py
@@ -1,7 +1,7 @@
-"""Disable Nagle's algorithm on every socket of the system.
+"""TCP connections and servers without Nagle's algorithm.
 
-With it, a small request that is written in two pieces waits for the delayed
-acknowledgement of the first, about 40 ms.
+With Nagle's algorithm, a small request that is written in two pieces waits about 40 ms
+for the delayed acknowledgement of the first.
 """
 
 import select
@@ -9,9 +9,9 @@
 import gevent.socket
 from gevent.pywsgi import WSGIServer
 
-from quetzalwall.connection.yielding_socket import FairSocket
+from quetzalwall.connection.yielding_socket import YieldingSocket
 
-__all__ = ["NoDelayServer", "connect", "readable_now", "set_nodelay"]
+__all__ = ["NoDelayServer", "connect", "is_readable", "set_nodelay"]
 
 
 def set_nodelay(sock):
@@ -25,8 +25,8 @@
     sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
 
 
-def readable_now(sock):
-    """Return whether bytes, an error or the end wait on a socket.
+def is_readable(sock):
+    """Return whether bytes, an error or the end of the stream can be read at once.
 
     Parameters
     ----------
@@ -37,17 +37,17 @@
     -------
     bool
     """
-    # select(2) fails from descriptor 1024 on.
+    # select(2) does not support descriptors from 1024 on.
     poller = select.poll()
     poller.register(sock.fileno(), select.POLLIN)
     return bool(poller.poll(0))
 
 
 class NoDelayServer(WSGIServer):
-    """WSGI server whose accepted sockets are fair and have TCP_NODELAY set."""
+    """WSGI server that accepts connections as yielding sockets with TCP_NODELAY."""
 
     def update_environ(self):
-        """Name the server by its IP number; the library asks for the host's name."""
+        """Name the server by its IP address; the library would look up a host name."""
         self.environ.setdefault("SERVER_NAME", str(self.address[0]))
         super().update_environ()
 
@@ -56,15 +56,15 @@
 
         Returns
         -------
-        (FairSocket, tuple) or None
-            The connection and the address of its peer; None if none waits.
+        (YieldingSocket, tuple) or None
+            The connection and the address of its peer; None if none is pending.
         """
         accepted = super().do_read()
         if accepted is None:
             return None
         sock, address = accepted
-        kind = sock.family, sock.type, sock.proto
-        return FairSocket(*kind, fileno=sock.detach()), address
+        options = sock.family, sock.type, sock.proto
+        return YieldingSocket(*options, fileno=sock.detach()), address
 
     def handle(self, sock, address):
         """Serve one accepted connection.
@@ -80,31 +80,31 @@
         super().handle(sock, address)
 
 
-def connect(place, timeout_s, kind=FairSocket):
-    """Return a connection without Nagle's algorithm and without a time limit.
+def connect(address, timeout_s, socket_class=YieldingSocket):
+    """Open a connection with TCP_NODELAY set, whose reads and writes never time out.
 
     Parameters
     ----------
-    place : (str, int)
-        IP number and port.
+    address : (str, int)
+        IP address and port.
     timeout_s : float
-        Seconds that opening it may take.
-    kind : type, default=FairSocket
+        Seconds that connecting may take.
+    socket_class : type, default=YieldingSocket
         Class of the socket.
 
     Returns
     -------
-    FairSocket
+    YieldingSocket
 
     Raises
     ------
     OSError
-        Nobody accepts it in time.
+        The connection was not accepted in time.
     """
-    sock = kind(gevent.socket.AF_INET, gevent.socket.SOCK_STREAM)
+    sock = socket_class(gevent.socket.AF_INET, gevent.socket.SOCK_STREAM)
     try:
         sock.settimeout(timeout_s)
-        sock.connect(place)
+        sock.connect(address)
         set_nodelay(sock)
         sock.settimeout(None)
     except BaseException:
--- a/quetzalwall/connection/single_attempt.py
+++ b/quetzalwall/connection/single_attempt.py
@@ -1,9 +1,9 @@
 """HTTP client that sends each request at most once.
 
-The client of geventhttpclient sends an idempotent request again, up to the size of
-its pool, when a connection closes before the answer. Retries are decided in one
-place only, `quetzalwall.request.retry`, so this client makes a single attempt and
-tells whether any byte of the request left the process.
+The client of geventhttpclient resends an idempotent request when a connection closes
+before the response, as often as its pool has connections. Retries are decided in one
+place only, `quetzalwall.request.request_server`, so this client makes a single attempt
+and tells whether any byte of the request left the process.
 """
 
 from typing import NamedTuple
@@ -17,20 +17,20 @@
     HTTPSocketPoolResponse,
 )
 
-from quetzalwall.connection.nodelay import readable_now, set_nodelay
-from quetzalwall.connection.yielding_socket import MOST_HEAD_BYTES, FairSocket
+from quetzalwall.connection.nodelay import is_readable, set_nodelay
+from quetzalwall.connection.yielding_socket import MAX_HEAD_BYTES, YieldingSocket
 from quetzalwall.exceptions import NotRun, OutcomeUnknown
 
 __all__ = ["CheckedResponse", "OutgoingRequest", "SingleAttemptClient", "create_client"]
 
-BLOCK_SIZE = 64 * 1024  # bytes
+READ_BYTES = 64 * 1024
 REQUEST_ID_HEADER = "X-Request-Id"
-LOWEST_FINAL_STATUS = 200
+MIN_FINAL_STATUS = 200
 _BROKEN_CONNECTION = (ConnectionResetError, BrokenPipeError)
 
 
 class OutgoingRequest(NamedTuple):
-    """A request to be sent once.
+    """A request to a peer.
 
     Attributes
     ----------
@@ -41,11 +41,11 @@
     headers : dict of str to str
         Headers, without Host and Content-Length.
     body : bytes or iterator of bytes
-        The whole body, or its blocks in order.
+        The complete body, or its blocks in order.
     length : int or None
-        Length of an iterated body in bytes; None sends it chunked.
+        Length in bytes of a body given as iterator; None sends it chunked.
     request_id : str
-        Echoed by the endpoint; a connection is reused only after it was.
+        Identifier of the request; the connection is reused only if the peer echoes it.
     """
 
     method: str
@@ -56,11 +56,11 @@
     request_id: str = ""
 
 
-class FairPool(ConnectionPool):
-    """Connection pool of fair sockets that have TCP_NODELAY set."""
+class YieldingSocketPool(ConnectionPool):
+    """Connection pool of yielding sockets that have TCP_NODELAY set."""
 
     def after_connect(self, sock):
-        """Set TCP_NODELAY once a socket is connected.
+        """Set TCP_NODELAY on a connected socket.
 
         Parameters
         ----------
@@ -70,13 +70,13 @@
         set_nodelay(sock)
 
     def _resolve(self):
-        # The library looks each address up in a native thread, IP numbers as well.
-        place = self._connection_host, self._connection_port
-        kind = gevent.socket.AF_INET, gevent.socket.SOCK_STREAM
-        return [(*kind, gevent.socket.IPPROTO_TCP, "", place)]
+        # The library resolves each address in a native thread, IP addresses as well.
+        address = self._connection_host, self._connection_port
+        family_and_type = gevent.socket.AF_INET, gevent.socket.SOCK_STREAM
+        return [(*family_and_type, gevent.socket.IPPROTO_TCP, "", address)]
 
     def _create_tcp_socket(self, family, socktype, protocol):
-        return FairSocket(family, socktype, protocol)
+        return YieldingSocket(family, socktype, protocol)
 
     def close_idle(self):
         """Close the connections that wait for another request."""
@@ -85,24 +85,24 @@
 
     def _is_socket_alive(self, sock):
         # The library's own check uses select(2).
-        return sock is not None and sock.fileno() >= 0 and not readable_now(sock)
+        return sock is not None and sock.fileno() >= 0 and not is_readable(sock)
 
 
 class SingleAttemptClient(HTTPClient):
-    """Client of one peer, with pooled connections and no retries.
+    """Client of one peer, with pooled connections and without retries.
 
     Parameters
     ----------
     host : str
-        IP number of the peer.
+        IP address of the peer.
     port : int
         TCP port of the peer.
     peer : str
-        Name of the peer in errors.
+        Name of the peer, for error messages.
     connect_timeout_s : float, default=2.0
         Seconds to wait for a connection.
     size : int, default=32
-        Connections at most.
+        Maximum number of connections.
     """
 
     def __init__(self, host, port, peer, connect_timeout_s=2.0, size=32):
@@ -111,11 +111,11 @@
             port=port,
             concurrency=size,
             disable_ipv6=True,
-            block_size=BLOCK_SIZE,
+            block_size=READ_BYTES,
             connection_timeout=connect_timeout_s,
         )
         self.peer = peer
-        self._connection_pool = FairPool(
+        self._connection_pool = YieldingSocketPool(
             host,
             port,
             host,
@@ -125,8 +125,8 @@
             connection_timeout=connect_timeout_s,
         )
 
-    def send(self, req, timeout_s, last_check=None):
-        """Send one request and return the beginning of its answer.
+    def send(self, req, timeout_s, before_send=None):
+        """Send one request and return its response once the head has been read.
 
         Parameters
         ----------
@@ -134,35 +134,35 @@
             The request.
         timeout_s : float
             Seconds that each read or write of the socket may take.
-        last_check : callable, default=None
-            Called after a connection is ready and before the first byte is sent;
-            it raises `NotRun` to stop the request.
+        before_send : callable, default=None
+            Called once a connection is ready, before the first byte is sent; raises
+            `NotRun` to cancel the request.
 
         Returns
         -------
         HTTPSocketPoolResponse
-            Status and headers; the body is read from it.
+            Response with status and headers; the body is read from it.
 
         Raises
         ------
         NotRun
             No byte of the request left this process.
         OutcomeUnknown
-            Some of the request may have left and no answer arrived.
+            Part of the request may have left this process; no response arrived.
         """
         head = self._request_head(req)
         sock = self._connect()
         sock.settimeout(timeout_s)
         try:
-            if last_check is not None:
-                last_check()
+            if before_send is not None:
+                before_send()
         except BaseException:
             self._connection_pool.return_socket(sock)
             raise
         try:
             self._send_all(sock, head, req)
         except _BROKEN_CONNECTION:
-            # The peer may have answered before it closed; `_read_head` finds out.
+            # The peer may have responded before it closed; `_read_head` finds out.
             return self._read_head(sock, req, step="send")
         except OSError as exc:
             self._connection_pool.release_socket(sock)
@@ -219,17 +219,17 @@
         if req.request_id and echoed is not None and echoed != req.request_id:
             res.discard()
             raise OutcomeUnknown(
-                f"answer is for request {echoed}", step="match answer", peer=self.peer
+                f"response names request {echoed}", step="match answer", peer=self.peer
             )
         return res
 
 
 class CheckedResponse(HTTPSocketPoolResponse):
-    """Answer to one request, kept apart from any other on the connection.
+    """Response to one request, separated from any other on the connection.
 
-    The connection returns to the pool only if the endpoint echoed the request's
-    identifier, since a late second answer could otherwise be taken for the answer to
-    the next request. Bytes of a second answer in the same segment are dropped.
+    The connection returns to the pool only if the peer echoed the request identifier,
+    since a late second response could otherwise be taken for the response to the next
+    request. Bytes of a second response in the same segment are dropped.
 
     Parameters
     ----------
@@ -243,23 +243,23 @@
 
     def __init__(self, sock, pool, req):
         self._request_id = req.request_id
-        self._fed = 0
-        self._ended = False
-        self._code = 0
-        self._excess = False
-        super().__init__(sock, pool=pool, block_size=BLOCK_SIZE, method=req.method)
+        self._received_bytes = 0
+        self._is_complete = False
+        self._final_status = 0
+        self._has_excess = False
+        super().__init__(sock, pool=pool, block_size=READ_BYTES, method=req.method)
 
     def get_code(self):
-        """Return the status of this answer, whatever began behind it.
+        """Return the status of this response, also if another one follows it.
 
         Returns
         -------
         int
         """
-        return self._code if self._ended else super().get_code()
+        return self._final_status if self._is_complete else super().get_code()
 
     def should_close(self):
-        """Return whether the connection is unfit for another request.
+        """Return whether the connection must not carry another request.
 
         Returns
         -------
@@ -267,7 +267,7 @@
         """
         if self._request_id and self.get(REQUEST_ID_HEADER) != self._request_id:
             return True
-        return self._excess or super().should_close()
+        return self._has_excess or super().should_close()
 
     def feed(self, data):
         """Parse bytes from the connection.
@@ -280,29 +280,29 @@
         Raises
         ------
         HTTPParseError
-            The answer is malformed or was cut, or its head is too long.
+            The response is malformed or truncated, or its head is too long.
         """
-        self._fed += len(data)
+        self._received_bytes += len(data)
         try:
             super().feed(data)
         except HTTPParseError:
-            if not self._ended:
+            if not self._is_complete:
                 raise
-        if self._fed > MOST_HEAD_BYTES and not self._head_read():
-            raise HTTPParseError("head is too long")
-        if self._ended:
+        if self._received_bytes > MAX_HEAD_BYTES and not self._final_head_complete():
+            raise HTTPParseError("response head is too long")
+        if self._is_complete:
             self.release()
 
-    def _head_read(self):
-        return self.headers_complete and self.get_code() >= LOWEST_FINAL_STATUS
+    def _final_head_complete(self):
+        return self.headers_complete and self.get_code() >= MIN_FINAL_STATUS
 
     def discard(self):
-        """Close the connection, whatever remains to be read from it."""
+        """Close the connection without reading the rest of the response."""
         self._request_id = "discarded"
         self.release()
 
-    def at_end(self):
-        """Return whether the whole answer was read.
+    def is_fully_read(self):
+        """Return whether the response is complete and its body was read.
 
         Returns
         -------
@@ -310,24 +310,24 @@
         """
         return self.message_complete and not self._body_buffer
 
-    def read_some(self):
-        """Return the next bytes of the body, as soon as there are any.
+    def read_available(self):
+        """Return the next bytes of the body as soon as any are available.
 
         Returns
         -------
         bytes
-            Empty at the end of a complete answer.
+            Empty at the end of a complete response.
 
         Raises
         ------
         HTTPParseError
-            The connection closed before the end of the answer.
+            The connection closed before the end of the response.
         OSError
-            The connection failed or nothing arrived in time.
+            The connection failed, or nothing arrived within the time-out.
         """
         while not self._body_buffer and self._sock is not None:
             try:
-                self.feed(self._sock.recv(BLOCK_SIZE))
+                self.feed(self._sock.recv(READ_BYTES))
             except BaseException:
                 self.release()
                 raise
@@ -336,39 +336,39 @@
         return block
 
     def _on_message_begin(self):
-        if self._ended:
-            self._excess = True
+        if self._is_complete:
+            self._has_excess = True
         else:
             super()._on_message_begin()
 
     def _on_status(self, msg):
-        if not self._ended:
+        if not self._is_complete:
             super()._on_status(msg)
 
     def _on_header_field(self, string):
-        if not self._ended:
+        if not self._is_complete:
             super()._on_header_field(string)
 
     def _on_header_value(self, string):
-        if not self._ended:
+        if not self._is_complete:
             super()._on_header_value(string)
 
     def _on_headers_complete(self):
-        if self._ended:
+        if self._is_complete:
             return True
         return super()._on_headers_complete()
 
     def _on_body(self, buf):
-        if not self._ended:
+        if not self._is_complete:
             super()._on_body(buf)
 
     def _on_message_complete(self):
-        if self._ended:
+        if self._is_complete:
             return
-        self._code = super().get_code()
-        self._ended = self._code >= LOWEST_FINAL_STATUS
-        # The class between would return the connection to the pool already here,
-        # before the rest of the segment has been looked at.
+        self._final_status = super().get_code()
+        self._is_complete = self._final_status >= MIN_FINAL_STATUS
+        # The parent class would return the connection to the pool here, before the rest
+        # of the segment has been parsed.
         HTTPResponse._on_message_complete(self)
 
 
@@ -378,7 +378,7 @@
     Parameters
     ----------
     host, port, peer, connect_timeout_s, size
-        As of `SingleAttemptClient`.
+        See `SingleAttemptClient`.
 
     Returns
     -------
--- a/quetzalwall/connection/tests/test_answer_parser.py
+++ b/quetzalwall/connection/tests/test_response_parser.py
@@ -1,11 +1,11 @@
-"""Answers that are cut, come in pieces, or say two things about their own end."""
+"""Truncated and segmented responses, and responses whose length is ambiguous."""
 
 from geventhttpclient.response import HTTPParseError
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from nose2.tools import params
 
-from quetzalwall.connection.answer_parser import AnswerParser
+from quetzalwall.connection.response_parser import ResponseParser
 
 LENGTH, CHUNKED, CLOSE = "length", "chunked", "close"
 BODILESS = (204, 304)
@@ -15,21 +15,21 @@
 values = st.text("abc0123456789=,./ ", max_size=12).map(str.strip)
 
 
-def parsed(pieces, method="GET"):
-    """Return the answers that are whole when the connection ends after the pieces."""
-    parser = AnswerParser(method)
+def parse(segments, method="GET"):
+    """Return the complete responses when the connection ends after these segments."""
+    parser = ResponseParser(method)
     try:
-        for piece in pieces:
-            parser.feed(piece)
+        for segment in segments:
+            parser.feed(segment)
         parser.feed(b"")
     except HTTPParseError:
         pass
-    return parser.answers
+    return parser.responses
 
 
 @st.composite
-def answers(draw):
-    """Draw method, bytes of the head, and bytes of the rest of a valid answer."""
+def responses(draw):
+    """Draw the method, head, rest and framing of a valid response."""
     method = draw(st.sampled_from(["GET", "POST", "HEAD"]))
     status = draw(st.sampled_from([200, 201, 404, 500, 503, *BODILESS]))
     body = draw(st.binary(max_size=40))
@@ -60,31 +60,30 @@
     return method, draw(st.sampled_from([b"", INTERIM])) + head.encode(), rest, framing
 
 
-# A head that stops must not become a whole answer with an empty or short body.
+# A truncated head must not become a complete response with an empty or short body.
 @settings(deadline=None)
-@given(answers())
-def test_no_cut_gives_a_whole_answer(drawn):
-    method, head, rest, framing = drawn
+@given(responses())
+def test_truncated_response_is_never_complete(sample):
+    method, head, rest, framing = sample
     raw = head + rest
-    assert len(parsed([raw], method)) == 1
-    ends = (
-        len(head) if framing == CLOSE else len(raw)
-    )  # the end of its connection is its own
-    for cut in range(ends):
-        assert parsed([raw[:cut]], method) == []
-        assert parsed([raw[i : i + 1] for i in range(cut)], method) == []
+    assert len(parse([raw], method)) == 1
+    # A body without length or chunks is complete wherever the connection closes.
+    cut_end = len(head) if framing == CLOSE else len(raw)
+    for cut in range(cut_end):
+        assert parse([raw[:cut]], method) == []
+        assert parse([raw[i : i + 1] for i in range(cut)], method) == []
 
 
 @settings(deadline=None)
-@given(answers(), st.lists(st.integers(1, 30), min_size=1, max_size=200))
-def test_pieces_give_what_the_whole_gives(drawn, sizes):
-    method, head, rest, _ = drawn
-    raw, pieces = head + rest, []
+@given(responses(), st.lists(st.integers(1, 30), min_size=1, max_size=200))
+def test_result_does_not_depend_on_segmentation(sample, sizes):
+    method, head, rest, _ = sample
+    raw, segments = head + rest, []
     while raw:
-        size = sizes[len(pieces) % len(sizes)]
-        pieces.append(raw[:size])
+        size = sizes[len(segments) % len(sizes)]
+        segments.append(raw[:size])
         raw = raw[size:]
-    assert parsed(pieces, method) == parsed([head + rest], method)
+    assert parse(segments, method) == parse([head + rest], method)
 
 
 @params(
@@ -101,22 +100,22 @@
     b"Content-Le\r\n\r\nhello",
     b"Content-Length : 5\r\n\r\nhello",
 )
-def test_an_answer_that_is_unsure_of_its_length_is_none(rest):
-    assert parsed([HEAD + rest]) == []
+def test_response_with_ambiguous_length_is_rejected(rest):
+    assert parse([HEAD + rest]) == []
 
 
-# The bytes of an unknown encoding passed for the endpoint's body, ended anywhere.
+# Bytes in an unknown coding were taken for the body, which could then end anywhere.
 @params("gzip", "identity", "chunked, gzip", "gzip, chunked", "xchunked")
-def test_an_answer_in_an_encoding_that_is_not_understood_is_none(coding):
+def test_response_with_unsupported_transfer_coding_is_rejected(coding):
     raw = HEAD + f"Transfer-Encoding: {coding}\r\n\r\n5\r\nhello\r\n0\r\n\r\n".encode()
-    assert parsed([raw]) == []
-    assert parsed([HEAD + b"Transfer-Encoding: chunked\r\n" + raw[len(HEAD) :]]) == []
+    assert parse([raw]) == []
+    assert parse([HEAD + b"Transfer-Encoding: chunked\r\n" + raw[len(HEAD) :]]) == []
 
 
-# Trailers said "not run" of a request that was answered.
-def test_trailers_are_no_headers():
+# A "not run" header among the trailers was believed, although the request was served.
+def test_trailers_are_not_headers():
     trailers = b"X-Not-Run: 1\r\nX-Request-Id: b\r\nEnd: 1\r\n\r\n"
     raw = HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n" + trailers
-    (answer,) = parsed([raw])
+    (response,) = parse([raw])
     expected = [("X-Request-Id", "a"), ("Transfer-Encoding", "chunked")]
-    assert (answer.headers, answer.body) == (expected, b"ok")
+    assert (response.headers, response.body) == (expected, b"ok")
--- a/quetzalwall/connection/tests/test_single_attempt.py
+++ b/quetzalwall/connection/tests/test_single_attempt.py
@@ -11,24 +11,24 @@
     scripted_server,
 )
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Request-Id: %b\r\n\r\n%b"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Request-Id: %b\r\n\r\n%b"
 
 
-def answer(head, body):
-    return ANSWER % (len(body), parse_request_id(head).encode(), body)
+def response(head, body):
+    return RESPONSE % (len(body), parse_request_id(head).encode(), body)
 
 
-def get(client, request_id, timeout_s=1.0):
+def send_get(client, request_id, timeout_s=1.0):
     req = OutgoingRequest("GET", "/x", {}, request_id=request_id)
     return client.send(req, timeout_s)
 
 
-def raises(kind, function, *args):
+def assert_raises(error, function, *args):
     try:
         function(*args)
-    except kind as exc:
+    except error as exc:
         return exc
-    raise AssertionError(f"{kind.__name__} was not raised")
+    raise AssertionError(f"{error.__name__} was not raised")
 
 
 def test_request_is_not_sent_again_when_the_connection_closes():
@@ -39,57 +39,57 @@
 
     with scripted_server(handle) as port:
         client = create_client("127.0.0.1", port, "ep", size=4)
-        exc = raises(OutcomeUnknown, get, client, "r1")
+        exc = assert_raises(OutcomeUnknown, send_get, client, "r1")
     assert len(heads) == 1
     assert (exc.step, exc.peer) == ("read head", "ep")
 
 
 def test_refused_connection_means_not_run():
     client = create_client("127.0.0.1", free_port(), "ep")
-    exc = raises(NotRun, get, client, "r1")
+    exc = assert_raises(NotRun, send_get, client, "r1")
     assert exc.step == "connect"
 
 
-def test_last_check_can_stop_a_request_before_its_first_byte():
+def test_before_send_can_cancel_a_request():
     received = []
 
     def handle(sock):
         received.append(sock.recv(100))
 
-    def stop():
+    def cancel():
         raise NotRun("too late", "send", "ep")
 
     with scripted_server(handle) as port:
         client = create_client("127.0.0.1", port, "ep")
         req = OutgoingRequest("GET", "/x", {})
-        raises(NotRun, client.send, req, 1.0, stop)
+        assert_raises(NotRun, client.send, req, 1.0, cancel)
         client.close()
         gevent.sleep(0.05)
     assert received in ([], [b""])
 
 
-def test_second_answer_in_the_same_segment_is_dropped():
+def test_second_response_in_the_same_segment_is_dropped():
     def handle(sock):
         while head := read_request_head(sock):
-            sock.sendall(answer(head, b"mine") + answer(head, b"again"))
+            sock.sendall(response(head, b"mine") + response(head, b"again"))
 
     with scripted_server(handle) as port:
         client = create_client("127.0.0.1", port, "ep")
-        assert get(client, "r1").read() == b"mine"
-        assert get(client, "r2").read() == b"mine"
+        assert send_get(client, "r1").read() == b"mine"
+        assert send_get(client, "r2").read() == b"mine"
 
 
-def test_late_second_answer_is_not_taken_for_the_next_request():
+def test_late_second_response_is_not_taken_for_the_next_request():
     def handle(sock):
         head = read_request_head(sock)
-        sock.sendall(answer(head, b"one"))
+        sock.sendall(response(head, b"one"))
         read_request_head(sock)
-        sock.sendall(answer(head, b"one again"))
+        sock.sendall(response(head, b"one again"))
 
     with scripted_server(handle) as port:
         client = create_client("127.0.0.1", port, "ep")
-        assert get(client, "r1").read() == b"one"
-        exc = raises(OutcomeUnknown, get, client, "r2")
+        assert send_get(client, "r1").read() == b"one"
+        exc = assert_raises(OutcomeUnknown, send_get, client, "r2")
     assert exc.step == "match answer"
 
 
@@ -101,7 +101,7 @@
             connections.append(sock)
             while head := read_request_head(sock):
                 request_id = parse_request_id(head).encode() if echo else b""
-                sock.sendall(ANSWER % (1, request_id, b"x"))
+                sock.sendall(RESPONSE % (1, request_id, b"x"))
 
         return handle
 
@@ -118,20 +118,20 @@
         assert len(connections) == expected
 
 
-def test_cut_answer_raises_instead_of_ending():
+def test_truncated_response_raises_instead_of_ending():
     def handle(sock):
         head = read_request_head(sock)
-        sock.sendall(answer(head, b"whole answer")[:-4])
+        sock.sendall(response(head, b"whole answer")[:-4])
 
     with scripted_server(handle) as port:
         client = create_client("127.0.0.1", port, "ep")
-        res = get(client, "r1")
+        res = send_get(client, "r1")
         blocks = []
-        raises(Exception, lambda: blocks.extend(iter(res.read_some, b"")))
+        assert_raises(Exception, lambda: blocks.extend(iter(res.read_available, b"")))
     assert b"".join(blocks) == b"whole an"
 
 
-def test_answer_sent_before_the_whole_request_was_read_is_returned():
+def test_response_sent_before_the_request_was_read_is_returned():
     def handle(sock):
         read_request_head(sock)
         sock.sendall(b"HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n")
@@ -156,12 +156,12 @@
 
     server = NoDelayServer(("127.0.0.1", 0), application, log=None)
     accepted = []
-    original = server.handle
+    serve = server.handle
 
     def handle(sock, address):
-        task = gevent.spawn(original, sock, address)
+        task = gevent.spawn(serve, sock, address)
         gevent.sleep(0.01)
-        accepted.append(_nodelay(sock))
+        accepted.append(_has_nodelay(sock))
         task.join()
 
     server.set_handle(handle)
@@ -169,7 +169,7 @@
     client = create_client("127.0.0.1", server.server_port, "server")
     pool = client._connection_pool
     sock = pool.get_socket()
-    assert _nodelay(sock)
+    assert _has_nodelay(sock)
     sock.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
     sock.recv(1000)
     gevent.sleep(0.05)
@@ -177,6 +177,6 @@
     assert accepted == [True]
 
 
-def _nodelay(sock):
+def _has_nodelay(sock):
     option = gevent.socket.TCP_NODELAY
     return bool(sock.getsockopt(gevent.socket.IPPROTO_TCP, option))
--- a/quetzalwall/connection/yielding_socket.py
+++ b/quetzalwall/connection/yielding_socket.py
@@ -1,60 +1,61 @@
-"""TCP sockets whose reads let other tasks run, and limits on what is no body.
+"""TCP sockets whose reads yield to other tasks, and the limit on HTTP heads.
 
-A read of gevent returns at once while bytes wait. A peer that sends faster than its
-bytes are parsed would so hold the event loop, and with it every timer: no deadline,
-health answer or signal. All TCP connections are of this kind.
+A gevent read returns without yielding while bytes are buffered. A peer that sends
+faster than its bytes are parsed would block the event loop: no deadline, health check
+or signal would be handled. All TCP connections use these sockets.
 """
 
 import gevent
 import gevent.socket
 
-__all__ = ["MOST_HEAD_BYTES", "YIELD_SLEEP_S", "FairSocket"]
+__all__ = ["MAX_HEAD_BYTES", "YIELD_SLEEP_S", "YieldingSocket"]
 
-SHARE_BYTES = 64 * 1024  # read before other tasks run
+YIELD_AFTER_BYTES = 64 * 1024
 YIELD_SLEEP_S = 0.0001  # gevent runs up to 50 tasks that sleep for 0 before any timer
-MOST_HEAD_BYTES = 128 * 1024  # heads, interim and foreign answers; common servers: 8 KB
+# Heads, interim responses and responses to other requests; common servers allow 8 KB.
+MAX_HEAD_BYTES = 128 * 1024
 
 
-class FairSocket(gevent.socket.socket):
-    """Socket that lets other tasks run after each share of what it has read."""
+class YieldingSocket(gevent.socket.socket):
+    """Socket that yields to other tasks once per `YIELD_AFTER_BYTES` read."""
 
-    _unshared = 0
+    _bytes_since_yield = 0
 
     def recv(self, *args):
-        """Read what waits, as `socket.socket.recv` does.
+        """Read bytes, as `socket.socket.recv` does.
 
         Parameters
         ----------
         *args
-            Most bytes to read, and flags.
+            Maximum number of bytes, and flags.
 
         Returns
         -------
         bytes
         """
-        self._share()
+        self._yield_if_due()
         data = super().recv(*args)
-        self._unshared += len(data)
+        self._bytes_since_yield += len(data)
         return data
 
     def recv_into(self, *args):
-        """Read what waits into a buffer, as `socket.socket.recv_into` does.
+        """Read bytes into a buffer, as `socket.socket.recv_into` does.
 
         Parameters
         ----------
         *args
-            The buffer, most bytes to read, and flags.
+            The buffer, maximum number of bytes, and flags.
 
         Returns
         -------
         int
         """
-        self._share()
+        self._yield_if_due()
         size = super().recv_into(*args)
-        self._unshared += size
+        self._bytes_since_yield += size
         return size
 
-    def _share(self):
-        if self._unshared >= SHARE_BYTES:
-            self._unshared = 0
+    def _yield_if_due(self):
+        if self._bytes_since_yield >= YIELD_AFTER_BYTES:
+            self._bytes_since_yield = 0
             gevent.sleep(YIELD_SLEEP_S)
