--- a/quetzalwall/connection/tests/test_cut_calls.py
+++ b/quetzalwall/connection/tests/test_truncated_json_responses.py
@@ -1,4 +1,4 @@
-"""Calls to the store and to other instances whose answers are cut or come twice."""
+"""JSON calls whose responses are truncated, late or sent twice."""
 
 import gevent
 from nose2.tools import params
@@ -8,7 +8,7 @@
 from quetzalwall.tests.product_fixtures import read_request_head, scripted_server
 
 OK = b"HTTP/1.1 200 OK\r\n"
-FORMS = {
+RESPONSES = {
     "length": OK + b"Content-Length: 11\r\nX-A: b\r\n\r\n" + b'{"rows":[]}',
     "no body": OK + b"Content-Length: 0\r\n\r\n",
     "chunks": OK
@@ -18,19 +18,22 @@
 }
 
 
-def call(raws):
-    """Return what each call gets if the peer sends these bytes and closes."""
-    left = list(raws)
+def call_peer(scripts):
+    """Yield the result of each call, None for an error.
+
+    The peer sends the pieces of one script for each call, then closes the connection.
+    """
+    remaining = list(scripts)
 
     def handle(sock):
         read_request_head(sock)
-        for piece in left.pop(0):
+        for piece in remaining.pop(0):
             sock.sendall(piece)
             gevent.sleep(0)
 
     with scripted_server(handle) as port:
         client = create_json_client("127.0.0.1", port, "peer")
-        for _ in raws:
+        for _ in scripts:
             try:
                 yield client.call("GET", "/x")
             except PeerError:
@@ -38,44 +41,44 @@
         client.close()
 
 
-@params(*FORMS)
-def test_a_cut_answer_to_a_call_is_none(form):
-    raw = FORMS[form]
-    (whole,) = call([[raw]])
-    assert whole.status == 200
+@params(*RESPONSES)
+def test_truncated_response_fails_the_call(name):
+    raw = RESPONSES[name]
+    (complete,) = call_peer([[raw]])
+    assert complete.status == 200
     cuts = range(len(raw))
-    assert [*call([[raw[:cut]] for cut in cuts])] == [None] * len(raw)
-    assert [*call([[raw[: cut // 2], raw[cut // 2 : cut]] for cut in cuts])] == [
+    assert [*call_peer([[raw[:cut]] for cut in cuts])] == [None] * len(raw)
+    assert [*call_peer([[raw[: cut // 2], raw[cut // 2 : cut]] for cut in cuts])] == [
         None
     ] * len(raw)
-    assert [*call([[raw[:cut], raw[cut:]] for cut in cuts if cut])] == [whole] * (
-        len(raw) - 1
-    )
+    assert [*call_peer([[raw[:cut], raw[cut:]] for cut in cuts if cut])] == [
+        complete
+    ] * (len(raw) - 1)
 
 
-# A call that was answered with 200 was told 503, "nothing was done".
+# A 503 after a 200 on the same connection made the call report that nothing was done.
 @params(b"", b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", b"HTTP/1.1 5", b"zzz")
-def test_bytes_behind_an_answer_to_a_call_end_the_connection(more):
+def test_bytes_after_a_response_close_the_connection(excess):
     opened = []
 
     def handle(sock):
         opened.append(sock)
         while read_request_head(sock):
-            sock.sendall(FORMS["length"] + more)
+            sock.sendall(RESPONSES["length"] + excess)
 
     with scripted_server(handle) as port:
         client = create_json_client("127.0.0.1", port, "peer")
         for _ in range(3):
             assert client.call("GET", "/x") == JsonResponse(200, {"rows": []})
         client.close()
-    assert len(opened) == (3 if more else 1)
+    assert len(opened) == (3 if excess else 1)
 
 
-def test_an_answer_that_came_after_its_call_was_given_up_is_not_the_next_ones():
+def test_late_response_is_not_taken_for_the_next_call():
     def handle(sock):
         while read_request_head(sock):
             gevent.sleep(0.1)
-            sock.sendall(FORMS["length"])
+            sock.sendall(RESPONSES["length"])
 
     with scripted_server(handle) as port:
         client = create_json_client("127.0.0.1", port, "peer")
