--- a/quetzalwall/process/limits/__init__.py
+++ b/quetzalwall/process/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that hold over all instances together, and this instance's part of them."""
+"""Limits that hold over all instances together, and the share that this one may use."""
--- a/quetzalwall/process/limits/cold_start_limiter.py
+++ b/quetzalwall/process/limits/cold_start_limiter.py
@@ -1,51 +1,55 @@
-"""Part of one instance of the rate at which cold endpoints get requests."""
+"""Limit the rate at which one instance sends requests to cold endpoints."""
 
 from quetzalwall.process.limits.share import rate_share, rendezvous_order
 from quetzalwall.process.sliding_window import SlidingWindow
 
-__all__ = ["ColdStartLimiter", "create_cold_start_limiter", "cold_share"]
+__all__ = ["ColdStartLimiter", "cold_endpoint_share", "create_cold_start_limiter"]
 
-SPAN_S = 1.2  # requests sent within it may arrive within one second
-GRAIN_S = 0.05
-SAFE_PART = 0.9
+WINDOW_SPAN_S = 1.2  # requests sent within this span may arrive within one second
+WINDOW_RESOLUTION_S = 0.05
+SAFE_FRACTION = 0.9  # of an endpoint's limit that all instances together may use
 
 
-def cold_share(limit, instance, endpoint, instances):
-    """Return how many requests one instance may send to a cold endpoint in a second.
+def cold_endpoint_share(limit, instance, endpoint, instances):
+    """Return how many requests per second an instance may send to a cold endpoint.
+
+    If there are at least as many requests as instances, every instance gets the same
+    number. Otherwise, the first instances in the endpoint's rendezvous order get one
+    request each.
 
     Parameters
     ----------
     limit : float
-        Requests a second that the endpoint bears from all instances together.
+        Requests per second that the endpoint tolerates from all instances together.
     instance : str
         Name of the instance.
     endpoint : str
         Identity of the endpoint.
     instances : sequence of str
-        Names of all instances, this one included.
+        Names of all instances, including ``instance``.
 
     Returns
     -------
     int
-        Where there are more instances than requests, those first in rendezvous order
-        of the endpoint send one each.
+        The shares of all instances add up to at most `SAFE_FRACTION` of the limit.
     """
-    whole = int(limit * SAFE_PART)
-    if whole >= len(instances):
-        whole -= whole % len(instances)
-        return rate_share(whole, instance, instances)
-    return rate_share(whole, instance, rendezvous_order(endpoint, instances))
+    requests = int(limit * SAFE_FRACTION)
+    if requests >= len(instances):
+        requests -= requests % len(instances)
+        return rate_share(requests, instance, instances)
+    return rate_share(requests, instance, rendezvous_order(endpoint, instances))
 
 
 class ColdStartLimiter:
-    """Requests to cold endpoints in the last second.
+    """Counts requests to cold endpoints and limits them to this instance's share.
 
     Parameters
     ----------
     instance : str
         Name of this instance.
     bounds : Bounds
-        Overage and slack beyond the tolerated rate.
+        Its ``cold_overage`` multiplies the rate that an endpoint tolerates, and its
+        ``cold_slack`` is added.
     """
 
     def __init__(self, instance, bounds):
@@ -56,7 +60,7 @@
         self._instances = None
 
     def configure(self, bounds):
-        """Take over other bounds.
+        """Apply new bounds; requests that were counted stay counted.
 
         Parameters
         ----------
@@ -66,17 +70,17 @@
         self._bounds = bounds
 
     def allows(self, endpoint, per_s, instances, now):
-        """Return whether a cold endpoint may get a request of this instance.
+        """Return whether this instance may send a request to a cold endpoint.
 
         Parameters
         ----------
         endpoint : str
             Identity of the endpoint.
         per_s : float
-            Requests a second that it tolerates.
+            Requests per second that the endpoint tolerates.
         instances : sequence of str
-            Names of all instances that may send to it; a list that is never changed,
-            so that what follows from it is worked out once.
+            Names of all instances that may send to it. The list must not be modified:
+            shares are cached for as long as the same list is passed.
         now : float
             Monotonic seconds.
 
@@ -100,46 +104,50 @@
         """
         self._window(endpoint).try_add(1, float("inf"), now)
 
-    def prune(self, known):
-        """Drop the counts of endpoints that are gone.
+    def prune(self, is_known):
+        """Drop the state of endpoints that are no longer known.
 
         Parameters
         ----------
-        known : callable
-            From an identity to whether the endpoint is still known.
+        is_known : callable
+            Takes the identity of an endpoint; returns whether it is still known.
         """
         self._windows = {
-            name: window for name, window in self._windows.items() if known(name)
+            endpoint: window
+            for endpoint, window in self._windows.items()
+            if is_known(endpoint)
         }
         self._shares = {
-            name: share for name, share in self._shares.items() if known(name)
+            endpoint: share
+            for endpoint, share in self._shares.items()
+            if is_known(endpoint)
         }
 
     def _share(self, endpoint, limit, instances):
         if instances is not self._instances:
             self._instances, self._shares = instances, {}
-        kept = self._shares.get(endpoint)
-        if kept is None or kept[0] != limit:
-            share = cold_share(limit, self._instance, endpoint, instances)
-            kept = self._shares[endpoint] = limit, share
-        return kept[1]
+        cached = self._shares.get(endpoint)
+        if cached is None or cached[0] != limit:
+            share = cold_endpoint_share(limit, self._instance, endpoint, instances)
+            cached = self._shares[endpoint] = limit, share
+        return cached[1]
 
     def _window(self, endpoint):
         window = self._windows.get(endpoint)
         if window is None:
-            window = self._windows[endpoint] = SlidingWindow(SPAN_S, GRAIN_S)
+            window = self._windows[endpoint] = SlidingWindow(
+                WINDOW_SPAN_S, WINDOW_RESOLUTION_S
+            )
         return window
 
 
 def create_cold_start_limiter(instance, bounds):
-    """Return unused counts.
+    """Return a limiter that has not counted any requests yet.
 
     Parameters
     ----------
-    instance : str
-        Name of this instance.
-    bounds : Bounds
-        Overage and slack beyond the tolerated rate.
+    instance, bounds
+        As of `ColdStartLimiter`.
 
     Returns
     -------
--- a/quetzalwall/process/limits/fleet_limits.py
+++ b/quetzalwall/process/limits/fleet_limits.py
@@ -11,18 +11,18 @@
 
 
 class FleetLimits(NamedTuple):
-    """What one instance may use of each limit.
+    """One instance's share of each limit, and its split of routes by weight.
 
     Attributes
     ----------
     retry_budget : RetryBudget
-        Retries of each service.
+        Limits retries for each service.
     cold_start_limiter : ColdStartLimiter
-        Requests to cold endpoints.
+        Limits requests to each cold endpoint.
     split : WeightedSplit
-        Services of a route by their weights.
+        Divides a route's requests between services.
     shifts : TrafficShifts
-        Planned moves between regions.
+        Moves requests between regions, within the caps of the shifts.
     """
 
     retry_budget: RetryBudget
--- a/quetzalwall/process/limits/retry_budget.py
+++ b/quetzalwall/process/limits/retry_budget.py
@@ -1,21 +1,26 @@
-"""Part of one instance of the retries that all instances may send."""
+"""Limit an instance's retries to its share of the retry budget of all instances."""
 
 from quetzalwall.process.sliding_window import SlidingWindow
 
 __all__ = ["RetryBudget", "create_retry_budget"]
 
-GRAIN_S = 0.25
-RATIO_PART = 0.7  # requests of a window may be counted in the one before it
-SLACK_PART = 0.5
+WINDOW_RESOLUTION_S = 0.25
+# Fractions of the configured ratio and slack that the instances use. The ratio needs a
+# margin because requests of one window may be counted in the window before it.
+RATIO_FRACTION = 0.7
+SLACK_FRACTION = 0.5
 
 
 class RetryBudget:
-    """Retries of one service in a sliding window.
+    """Counts requests and retries of each service in sliding windows.
+
+    The retries of a service are limited to a ratio of the requests that this instance
+    received for it, plus an equal share of a slack that all instances divide.
 
     Parameters
     ----------
     bounds : Bounds
-        Ratio, slack and window that all instances share.
+        Retry ratio, slack and window, which hold over all instances.
     """
 
     def __init__(self, bounds):
@@ -24,57 +29,58 @@
         self._retries = {}
 
     def configure(self, bounds):
-        """Take over other bounds.
+        """Apply new bounds.
 
         Parameters
         ----------
         bounds : Bounds
-            Ratio and slack; the window stays that of the start.
+            Retry ratio and slack; windows that exist already keep their length.
         """
         self._bounds = bounds
 
     def record_request(self, service, now):
-        """Count a caller's request.
+        """Count a request from a caller.
 
         Parameters
         ----------
         service : str
-            Service that it is for.
+            Service that the request is for.
         now : float
             Monotonic seconds.
         """
         self._window(self._requests, service).try_add(1, float("inf"), now)
 
     def try_acquire(self, service, now, instances):
-        """Count a retry if it is allowed.
+        """Count a retry if the budget allows it.
 
         Parameters
         ----------
         service : str
-            Service that it is for.
+            Service that the retry is for.
         now : float
             Monotonic seconds.
         instances : int
-            Instances that share the slack.
+            Number of instances that divide the slack.
 
         Returns
         -------
         bool
+            Whether the retry may be sent.
         """
         limit = self._limit(service, now, instances)
         return self._window(self._retries, service).try_add(1, limit, now)
 
     def allows_retry(self, service, now, instances):
-        """Return whether a retry would be allowed, without counting it.
+        """Return whether the budget allows a retry, without counting it.
 
         Parameters
         ----------
         service : str
-            Service that it is for.
+            Service that the retry is for.
         now : float
             Monotonic seconds.
         instances : int
-            Instances that share the slack.
+            Number of instances that divide the slack.
 
         Returns
         -------
@@ -85,24 +91,24 @@
 
     def _limit(self, service, now, instances):
         requests = self._window(self._requests, service).total(now)
-        limit = RATIO_PART * self._bounds.retry_ratio * requests
-        return limit + SLACK_PART * self._bounds.retry_slack / max(1, instances)
+        limit = RATIO_FRACTION * self._bounds.retry_ratio * requests
+        return limit + SLACK_FRACTION * self._bounds.retry_slack / max(1, instances)
 
     def _window(self, windows, service):
         window = windows.get(service)
         if window is None:
-            window = SlidingWindow(self._bounds.retry_window_s, GRAIN_S)
+            window = SlidingWindow(self._bounds.retry_window_s, WINDOW_RESOLUTION_S)
             windows[service] = window
         return window
 
 
 def create_retry_budget(bounds):
-    """Return an unused allowance.
+    """Return a budget of which nothing has been used.
 
     Parameters
     ----------
     bounds : Bounds
-        Ratio, slack and window that all instances share.
+        As of `RetryBudget`.
 
     Returns
     -------
--- a/quetzalwall/process/limits/share.py
+++ b/quetzalwall/process/limits/share.py
@@ -1,62 +1,68 @@
-"""Divide a limit over instances without a message between them."""
+"""Divide a limit over instances without communication between them."""
 
 import xxhash
 
-__all__ = ["rate_share", "rendezvous_order", "even_share"]
+__all__ = ["even_share", "rate_share", "rendezvous_order"]
 
-EVEN_PART = 0.2  # of what is divided by demand, for those who had none until now
+# Divided evenly when a rate is divided by demand, so that instances that have had no
+# demand so far can begin to send.
+EVEN_FRACTION = 0.2
 
 
 def even_share(limit, key, own, names):
-    """Return this instance's part of a limit that holds over all instances.
+    """Return this instance's share of a limit that is divided evenly.
 
     Parameters
     ----------
     limit : int
-        Most that all instances may use together.
+        Limit that holds over all instances together.
     key : str
-        What is limited; decides who gets what remains after even parts.
+        What is limited. It decides which instances get one more than the others if
+        the limit is not divisible by the number of instances.
     own : str
         Name of this instance.
     names : sequence of str
-        Names of all instances, this one included.
+        Names of all instances, including ``own``.
 
     Returns
     -------
     int
-        The parts of all instances that know the same names add up to the limit.
+        The shares of all instances add up to the limit if they use the same names.
 
     Examples
     --------
     >>> sum(even_share(20, "move", name, "abcdefg") for name in "abcdefg")
     20
     """
-    part, rest = divmod(max(0, int(limit)), len(names))
-    if not rest:
-        return part
-    return part + (own in rendezvous_order(key, names)[:rest])
+    share, remainder = divmod(max(0, int(limit)), len(names))
+    if not remainder:
+        return share
+    return share + (own in rendezvous_order(key, names)[:remainder])
 
 
-def rate_share(whole, own, order, wanted=None):
-    """Return this instance's part of a number of requests.
+def rate_share(requests, own, order, demand=None):
+    """Return this instance's share of a number of requests, divided by demand.
 
     Parameters
     ----------
-    whole : int
-        Requests that all instances may send together.
+    requests : int
+        Requests that all instances together may send.
     own : str
         Name of this instance.
     order : sequence of str
-        Names of all instances, this one included; those that come first get what
-        remains after whole parts.
-    wanted : dict of str to int, default=None
-        Requests that each instance would send; those that are not in ``order`` get
-        nothing. None, or nobody's, divides evenly.
+        Names of all instances, including ``own``. What is left after rounding the
+        shares down goes to the first of them, one request each; instances with demand
+        come before those without.
+    demand : dict of str to int, default=None
+        Number of requests that each instance would send without a limit; names that
+        are not in ``order`` are ignored. If it is None or nobody has demand, the
+        requests are divided evenly.
 
     Returns
     -------
     int
-        The parts of all instances that know the same add up to the whole.
+        The shares of all instances add up to ``requests`` if they use the same order
+        and demand.
 
     Examples
     --------
@@ -65,28 +71,34 @@
     >>> [rate_share(10, name, "abc", {"b": 30}) for name in "abc"]
     [1, 9, 0]
     """
-    wanted = {name: wanted[name] for name in order if wanted and wanted.get(name)}
-    total = sum(wanted.values())
-    if not total:
-        part, rest = divmod(whole, len(order))
-        return part + (rest > 0 and own in order[:rest])
-    even = EVEN_PART * whole / len(order)
-    parts = {
-        name: int(even + (1 - EVEN_PART) * whole * count / total)
-        for name, count in wanted.items()
+    demand = {name: demand[name] for name in order if demand and demand.get(name)}
+    total_demand = sum(demand.values())
+    if not total_demand:
+        share, remainder = divmod(requests, len(order))
+        return share + (remainder > 0 and own in order[:remainder])
+    minimum = EVEN_FRACTION * requests / len(order)
+    shares = {
+        name: int(minimum + (1 - EVEN_FRACTION) * requests * count / total_demand)
+        for name, count in demand.items()
     }
-    rest = whole - sum(parts.values()) - int(even) * (len(order) - len(parts))
-    first = [*parts, *(name for name in order if name not in parts)]
-    return parts.get(own, int(even)) + (rest > 0 and own in first[:rest])
+    remainder = (
+        requests - sum(shares.values()) - int(minimum) * (len(order) - len(shares))
+    )
+    remainder_order = [*shares, *(name for name in order if name not in shares)]
+    return shares.get(own, int(minimum)) + (
+        remainder > 0 and own in remainder_order[:remainder]
+    )
 
 
 def rendezvous_order(key, names):
-    """Return instances in an order that differs from key to key.
+    """Return instances in a pseudo-random order that depends on the key.
+
+    Every instance computes the same order (rendezvous hashing).
 
     Parameters
     ----------
     key : str
-        What is divided.
+        What is divided between the instances.
     names : sequence of str
         Names of the instances.
 
--- a/quetzalwall/process/limits/tests/test_limits.py
+++ b/quetzalwall/process/limits/tests/test_limits.py
@@ -4,7 +4,7 @@
 
 from quetzalwall.platform.settings import Bounds
 from quetzalwall.process.limits.cold_start_limiter import (
-    cold_share,
+    cold_endpoint_share,
     create_cold_start_limiter,
 )
 from quetzalwall.process.limits.retry_budget import create_retry_budget
@@ -14,7 +14,7 @@
 BOUNDS = Bounds()
 
 
-def route(split):
+def split_route(split):
     return Route("r", "h", "/", True, None, 1.0, 1, 2, False, (), split)
 
 
@@ -23,36 +23,40 @@
     names = [f"front-{n}" for n in range(instances)]
     for endpoint in ("ep-1", "ep-2", "ep-3"):
         for limit in (6.0, 8.0, 12.35):
-            shares = [cold_share(limit, name, endpoint, names) for name in names]
+            shares = [
+                cold_endpoint_share(limit, name, endpoint, names) for name in names
+            ]
             assert 0 < sum(shares) <= limit
 
 
-def test_a_cold_endpoint_gets_no_more_than_its_rate_in_any_second():
+def test_a_cold_endpoint_gets_no_more_than_its_limit_in_any_second():
     names = [f"front-{n}" for n in range(7)]
-    pacings = [create_cold_start_limiter(name, BOUNDS) for name in names]
+    limiters = [create_cold_start_limiter(name, BOUNDS) for name in names]
     rng = random.Random(1)
-    sent = []
+    sent_at = []
     for step in range(3000):
         now = step / 100
-        for pacing in pacings:
-            if rng.random() < 0.3 and pacing.allows("ep", 4.9, names, now):
-                pacing.record_request("ep", now)
-                sent.append(now)
+        for limiter in limiters:
+            if rng.random() < 0.3 and limiter.allows("ep", 4.9, names, now):
+                limiter.record_request("ep", now)
+                sent_at.append(now)
     limit = 4.9 * BOUNDS.cold_overage + BOUNDS.cold_slack
-    most = max(sum(1 for t in sent if at <= t < at + 1.0) for at in sent)
-    assert 0 < most <= limit
+    max_per_s = max(
+        sum(1 for at in sent_at if start <= at < start + 1.0) for start in sent_at
+    )
+    assert 0 < max_per_s <= limit
 
 
 def test_retries_of_all_instances_stay_within_the_budget():
     instances, per_s = 7, 100.0
-    allowances = [create_retry_budget(BOUNDS) for _ in range(instances)]
+    budgets = [create_retry_budget(BOUNDS) for _ in range(instances)]
     retries = requests = 0
     for step in range(1000):
         now = step / 100
-        allowance = allowances[step % instances]
-        allowance.record_request("desk", now)
+        budget = budgets[step % instances]
+        budget.record_request("desk", now)
         requests += 1
-        while allowance.try_acquire("desk", now, instances):
+        while budget.try_acquire("desk", now, instances):
             retries += 1
     assert requests == per_s * 10
     assert retries <= BOUNDS.retry_ratio * requests + BOUNDS.retry_slack
@@ -61,17 +65,17 @@
 
 @params(((("a", 90.0), ("b", 10.0)),), ((("a", 1.0), ("b", 1.0), ("c", 2.0)),))
 def test_a_split_follows_its_weights(split):
-    chooser = create_weighted_split(random.Random(3))
-    counts = dict.fromkeys([name for name, _ in split], 0)
+    weighted = create_weighted_split(random.Random(3))
+    counts = dict.fromkeys([service for service, _ in split], 0)
     for _ in range(300):
-        counts[chooser.next_service(route(split))] += 1
+        counts[weighted.next_service(split_route(split))] += 1
     total = sum(weight for _, weight in split)
-    for name, weight in split:
-        assert abs(counts[name] / 300 - weight / total) < 0.01
+    for service, weight in split:
+        assert abs(counts[service] / 300 - weight / total) < 0.01
 
 
-def test_a_split_of_weight_zero_gets_nothing():
+def test_a_service_of_weight_zero_gets_nothing():
     split = (("a", 1.0), ("b", 0.0))
     for seed in range(20):
-        chooser = create_weighted_split(random.Random(seed))
-        assert {chooser.next_service(route(split)) for _ in range(50)} == {"a"}
+        weighted = create_weighted_split(random.Random(seed))
+        assert {weighted.next_service(split_route(split)) for _ in range(50)} == {"a"}
--- a/quetzalwall/process/limits/traffic_shifts.py
+++ b/quetzalwall/process/limits/traffic_shifts.py
@@ -1,9 +1,9 @@
-"""Planned moves of traffic between regions, under the operators' caps.
+"""Planned shifts of traffic between regions, limited by caps that operators set.
 
-A cap counts the requests that are moved in any interval, over all instances. It is
-divided over the instances of the region that traffic leaves; each counts its part in a
-sliding window. How fast a shift goes within its cap follows from how the receiving
-region does.
+A cap limits how many requests are moved in any interval, over all instances. It is
+divided between the instances of the source region; each counts the requests that it
+moves in a sliding window. How fast a shift proceeds within its cap depends on the load
+of the receiving region.
 """
 
 from quetzalwall.process.limits.share import even_share
@@ -11,11 +11,11 @@
 
 __all__ = ["ShiftProgress", "TrafficShifts", "create_traffic_shifts"]
 
-STEP_PERIOD_S = 1.0
-STEP_UP = 0.1  # part of the traffic added at each step
-STEP_DOWN = 0.5  # factor at a step when the receiving region does badly
-SLOWER_RATIO = 1.5  # of usual work: the receiving region does badly
-LEAST_HEADROOM = 0.1  # of the receiving region's slots
+ADJUST_PERIOD_S = 1.0
+FRACTION_INCREMENT = 0.1  # added to the fraction of traffic at each adjustment
+DECREASE_FACTOR = 0.5  # applied to it while the receiving region is overloaded
+MAX_SLOWNESS = 1.5  # of the receiving region; 1.0 is its usual service time
+MIN_HEADROOM_FRACTION = 0.1  # of the receiving region's slots that have to be free
 
 
 class ShiftProgress:
@@ -30,10 +30,14 @@
 
     Attributes
     ----------
+    shift : Shift
+        The shift as last configured.
     fraction : float
-        Part of the traffic now offered to the other region.
+        Fraction of the traffic that is currently to be moved, 0 to 1.
     reason : str
-        Why the last step went as it did.
+        Reason for the last adjustment of the fraction.
+    window : SlidingWindow
+        Counts the requests that this instance moved.
     """
 
     def __init__(self, shift, now):
@@ -41,48 +45,50 @@
         self.fraction = 0.0
         self.reason = "start"
         self.window = SlidingWindow(shift.interval_s)
-        self._next_step = now
+        self._next_adjustment = now
 
     def adjust(self, headroom, slowness, now):
-        """Adapt the fraction to how the receiving region does.
+        """Adjust the fraction to the load of the receiving region.
+
+        Does nothing if the last adjustment was less than `ADJUST_PERIOD_S` ago.
 
         Parameters
         ----------
         headroom : float
-            Free part of the slots in the receiving region, 0 to 1.
+            Fraction of the receiving region's slots that are free, 0 to 1.
         slowness : float
-            How long work takes there, 1.0 being usual.
+            Service time in the receiving region, relative to the usual one (1.0).
         now : float
             Monotonic seconds.
         """
-        if now < self._next_step:
+        if now < self._next_adjustment:
             return
-        self._next_step = now + STEP_PERIOD_S
+        self._next_adjustment = now + ADJUST_PERIOD_S
         if not self.shift.running:
             self.fraction, self.reason = 0.0, "stopped"
-        elif headroom < LEAST_HEADROOM:
-            self.fraction, self.reason = STEP_DOWN * self.fraction, "headroom"
-        elif slowness > SLOWER_RATIO:
-            self.fraction *= STEP_DOWN
+        elif headroom < MIN_HEADROOM_FRACTION:
+            self.fraction, self.reason = DECREASE_FACTOR * self.fraction, "headroom"
+        elif slowness > MAX_SLOWNESS:
+            self.fraction *= DECREASE_FACTOR
             self.reason = "receiving region slower"
         else:
-            self.fraction = min(self.shift.fraction, self.fraction + STEP_UP)
+            self.fraction = min(self.shift.fraction, self.fraction + FRACTION_INCREMENT)
             self.reason = "within limits"
 
 
 class TrafficShifts:
-    """All shifts on this instance.
+    """All configured shifts, and their progress on this instance.
 
     Parameters
     ----------
     endpoints : EndpointTable
-        Tells how regions do.
+        Endpoints whose slots and slowness show the load of a region.
     fleet : Fleet
         The instances that share the caps.
     rng : random.Random
-        Decides which requests are offered to the other region.
+        Decides which requests are to be moved.
     monotonic : callable
-        Clock in seconds.
+        Returns monotonic seconds.
     """
 
     def __init__(self, endpoints, fleet, rng, monotonic):
@@ -93,7 +99,10 @@
         self._progress = {}
 
     def configure(self, shifts):
-        """Take over the shifts of a configuration; those that stay keep their counts.
+        """Apply the shifts of a new configuration.
+
+        A shift that was configured before keeps its progress and its count of moved
+        requests, unless its interval changes.
 
         Parameters
         ----------
@@ -101,9 +110,9 @@
             The shifts.
         """
         now = self._monotonic()
-        old, self._progress = self._progress, {}
+        previous, self._progress = self._progress, {}
         for shift in shifts:
-            progress = old.get(shift.name)
+            progress = previous.get(shift.name)
             if progress is None or progress.shift.interval_s != shift.interval_s:
                 progress = ShiftProgress(shift, now)
             progress.shift = shift
@@ -129,13 +138,14 @@
         Parameters
         ----------
         service : str
-            Service of the request.
+            Service that the request is for.
         now : float
             Monotonic seconds.
 
         Returns
         -------
         ShiftProgress or None
+            None if the request should stay in its region.
         """
         for progress in self._progress.values():
             shift = progress.shift
@@ -143,12 +153,12 @@
                 continue
             if not shift.running or self._rng.random() >= progress.fraction:
                 continue
-            if progress.window.total(now) < self.part(shift):
+            if progress.window.total(now) < self.cap_share(shift):
                 return progress
         return None
 
-    def part(self, shift):
-        """Return this instance's part of a shift's cap.
+    def cap_share(self, shift):
+        """Return this instance's share of a shift's cap.
 
         Parameters
         ----------
@@ -158,6 +168,7 @@
         Returns
         -------
         int
+            Requests per interval; 0 if this instance is not in the source region.
         """
         if shift.source != self._fleet.own_info.region:
             return 0
@@ -170,14 +181,14 @@
         Parameters
         ----------
         progress : ShiftProgress
-            From `choose_shift`.
+            The shift that moves the request, from `choose_shift`.
         now : float
             Monotonic seconds.
         """
-        progress.window.try_add(1, self.part(progress.shift), now)
+        progress.window.try_add(1, self.cap_share(progress.shift), now)
 
     def adjust(self):
-        """Let each shift adapt to how its receiving region does."""
+        """Adjust each shift to the load of its receiving region."""
         now = self._monotonic()
         for progress in self._progress.values():
             shift = progress.shift
@@ -190,15 +201,16 @@
             used = sum(min(state.in_flight(), state.entry.slots) for state in states)
             headroom = 1 - used / slots if slots else 0.0
             slowness = [state.slowness(now) for state in states]
-            mean = sum(slowness) / len(slowness) if slowness else 1.0
-            progress.adjust(headroom, mean, now)
+            mean_slowness = sum(slowness) / len(slowness) if slowness else 1.0
+            progress.adjust(headroom, mean_slowness, now)
 
     def status(self):
-        """Return what operators see of the shifts.
+        """Return the state of all shifts, for operators.
 
         Returns
         -------
         dict of str to dict
+            By the name of the shift.
         """
         now = self._monotonic()
         return {
@@ -206,7 +218,7 @@
                 "fraction": round(progress.fraction, 3),
                 "target": progress.shift.fraction,
                 "moved": progress.window.total(now),
-                "limit": self.part(progress.shift),
+                "limit": self.cap_share(progress.shift),
                 "reason": progress.reason,
             }
             for name, progress in self._progress.items()
@@ -214,7 +226,7 @@
 
 
 def create_traffic_shifts(endpoints, fleet, rng, monotonic):
-    """Return the shifts of one instance; there are none yet.
+    """Return the shifts of one instance; none are configured yet.
 
     Parameters
     ----------
--- a/quetzalwall/process/limits/weighted_split.py
+++ b/quetzalwall/process/limits/weighted_split.py
@@ -4,64 +4,67 @@
 
 
 class WeightedSplit:
-    """Smooth weighted round robin, one count for each route.
+    """Smooth weighted round robin, with separate state for each route.
 
     Parameters
     ----------
     rng : random.Random
-        Where each route begins, so that instances do not go in step.
+        Draws the initial state of each route, so that instances don't choose the same
+        services in lockstep.
     """
 
     def __init__(self, rng):
         self._rng = rng
-        self._credits = {}
+        self._current_weights = {}
 
     def next_service(self, route):
-        """Return the service that takes the next request.
+        """Return the service that gets the next request.
 
         Parameters
         ----------
         route : Route
-            The route.
+            The route of the request.
 
         Returns
         -------
         str
         """
-        parts = [part for part in route.split if part[1] > 0] or route.split
-        if len(parts) == 1:
-            return parts[0][0]
-        total = sum(weight for _, weight in parts)
-        credits = self._credits.get((route.name, route.split))
-        if credits is None:
-            credits = {name: self._rng.random() * total for name, _ in parts}
-            self._credits[route.name, route.split] = credits
-        for name, weight in parts:
-            credits[name] += weight
-        chosen = max(credits, key=credits.get)
-        credits[chosen] -= total
+        weighted = [pair for pair in route.split if pair[1] > 0] or route.split
+        if len(weighted) == 1:
+            return weighted[0][0]
+        total = sum(weight for _, weight in weighted)
+        current = self._current_weights.get((route.name, route.split))
+        if current is None:
+            current = {service: self._rng.random() * total for service, _ in weighted}
+            self._current_weights[route.name, route.split] = current
+        for service, weight in weighted:
+            current[service] += weight
+        chosen = max(current, key=current.get)
+        current[chosen] -= total
         return chosen
 
-    def prune(self, routes):
-        """Drop the counts of routes that are gone.
+    def prune(self, active_routes):
+        """Drop the state of routes that are no longer configured.
 
         Parameters
         ----------
-        routes : set of (str, tuple)
-            Name and split of the routes in force.
+        active_routes : set of (str, tuple)
+            Name and split of each route of the active configuration.
         """
-        self._credits = {
-            key: credits for key, credits in self._credits.items() if key in routes
+        self._current_weights = {
+            key: current
+            for key, current in self._current_weights.items()
+            if key in active_routes
         }
 
 
 def create_weighted_split(rng):
-    """Return unused counts.
+    """Return a split without state for any route.
 
     Parameters
     ----------
     rng : random.Random
-        Where each route begins.
+        As of `WeightedSplit`.
 
     Returns
     -------
--- a/quetzalwall/process/sliding_window.py
+++ b/quetzalwall/process/sliding_window.py
@@ -1,4 +1,4 @@
-"""Limit on an amount in every interval of a given length."""
+"""Limit an amount in every interval of a given length."""
 
 from collections import deque
 
@@ -6,7 +6,7 @@
 
 
 class SlidingWindow:
-    """Amounts taken during the last interval.
+    """Sum of the amounts that were added during the last interval.
 
     A token bucket lets through up to its rate plus its burst within one interval;
     this window never lets through more than the limit in any interval, wherever the
@@ -17,18 +17,18 @@
     span_s : float
         Length of the interval in seconds.
     resolution_s : float, default=0.0
-        Amounts taken this close together share one entry, which bounds the memory.
-        The interval grows by as much, so that the limit still holds.
+        Amounts added within this many seconds share one entry, which bounds the memory.
+        The interval is longer by as much, so that the limit still holds.
     """
 
     def __init__(self, span_s, resolution_s=0.0):
         self.span_s = span_s
         self.resolution_s = resolution_s
-        self._taken = deque()
+        self._entries = deque()
         self._total = 0
 
     def total(self, now):
-        """Return the amount taken during the interval that ends now.
+        """Return the amount added during the interval that ends now.
 
         Parameters
         ----------
@@ -39,34 +39,34 @@
         -------
         int
         """
-        oldest = now - self.span_s - self.resolution_s
-        while self._taken and self._taken[0][0] <= oldest:
-            self._total -= self._taken.popleft()[1]
+        expired_at = now - self.span_s - self.resolution_s
+        while self._entries and self._entries[0][0] <= expired_at:
+            self._total -= self._entries.popleft()[1]
         return self._total
 
     def try_add(self, amount, limit, now):
-        """Take an amount if the limit allows it.
+        """Add an amount if the total stays within the limit.
 
         Parameters
         ----------
         amount : int
-            Amount to take.
+            Amount to add.
         limit : int
-            Most that may be taken in any interval.
+            Maximum total in any interval.
         now : float
             Monotonic seconds.
 
         Returns
         -------
         bool
-            Whether the amount was taken.
+            Whether the amount was added.
         """
         if self.total(now) + amount > limit:
             return False
-        if self._taken and now - self._taken[-1][0] < self.resolution_s:
-            self._taken[-1][1] += amount
+        if self._entries and now - self._entries[-1][0] < self.resolution_s:
+            self._entries[-1][1] += amount
         else:
-            self._taken.append([now, amount])
+            self._entries.append([now, amount])
         self._total += amount
         return True
 
@@ -76,9 +76,9 @@
         Parameters
         ----------
         amount : int
-            Amount to take.
+            Amount to add.
         limit : int
-            Most that may be taken in any interval.
+            Maximum total in any interval.
         now : float
             Monotonic seconds.
 
@@ -89,8 +89,8 @@
         excess = self.total(now) + amount - limit
         if excess <= 0:
             return 0.0
-        for taken_at, taken in self._taken:
-            excess -= taken
+        for added_at, added in self._entries:
+            excess -= added
             if excess <= 0:
-                return taken_at + self.span_s + self.resolution_s - now
+                return added_at + self.span_s + self.resolution_s - now
         return float("inf")
