--- a/quetzalwall/process/storage/__init__.py
+++ b/quetzalwall/process/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What is read from and written to the platform's table and objects."""
+"""Rows that an instance reads from and writes to the platform's metadata store."""
--- a/quetzalwall/process/storage/settings_admin.py
+++ b/quetzalwall/process/storage/settings_admin.py
@@ -1,4 +1,4 @@
-"""What operators ask an entry instance for: settings and their changes."""
+"""Operators' requests to show, change and list changes of the settings tree."""
 
 import hashlib
 import hmac
@@ -16,14 +16,14 @@
 
 
 class SettingsAdmin:
-    """Commands of operators on one instance.
+    """Settings administration on one instance, for operators.
 
     Parameters
     ----------
     cluster_state : ClusterState
-        Holds the tree in force.
+        Has the active settings tree.
     table : StoreTable
-        Rows of the store.
+        Rows of the store, to which changes are written.
     clock : Clock
         Source of time.
     """
@@ -34,20 +34,20 @@
         self._clock = clock
 
     def show(self):
-        """Return the settings in force on this instance.
+        """Return the settings that are active on this instance, without credentials.
 
         Returns
         -------
         dict
-            With ``version``, ``teams`` (versions) and ``tree``.
+            With ``version``, ``teams`` (team to version of its subtree) and ``tree``.
         """
-        held = self._cluster_state.tree
-        if held is None:
+        active = self._cluster_state.tree
+        if active is None:
             return {"version": 0, "teams": {}, "tree": {}}
         return {
-            "version": held.version,
-            "teams": held.team_versions,
-            "tree": _without_credentials(held.tree),
+            "version": active.version,
+            "teams": active.team_versions,
+            "tree": _without_credentials(active.tree),
         }
 
     def put(self, body, credential):
@@ -56,38 +56,40 @@
         Parameters
         ----------
         body : object
-            With ``team``, ``subtree``, ``base`` and ``author``.
+            Decoded JSON of the request. It has to be an object with ``team``,
+            ``subtree``, ``base`` (version that the change was made from) and
+            ``author``.
         credential : str
             The team's credential.
 
         Returns
         -------
         tuple of int and dict
-            HTTP status and the answer.
+            HTTP status and response body.
         """
-        problem = _body_problem(body)
-        if problem:
-            return 400, {"message": problem}
+        error = _body_error(body)
+        if error:
+            return 400, {"message": error}
         team = body["team"]
-        if not self._allowed(team, credential):
+        if not self._is_authorized(team, credential):
             log_event(LOG, "refused", "warning", team=team, reason="credential")
-            return 403, {"message": f"credential is not that of team {team}"}
+            return 403, {"message": f"credential does not belong to team {team}"}
         try:
             version = put_subtree(
                 self._table,
                 team,
-                self._keep_credentials(team, body["subtree"]),
+                self._with_credentials(team, body["subtree"]),
                 body["base"],
                 body["author"],
                 wall=self._clock.wall,
                 pause=gevent.sleep,
             )
         except SettingsConflict as exc:
-            return 409, _conflict_answer(exc)
+            return 409, _conflict_body(exc)
         except SettingsError as exc:
             return 422, {
                 "message": exc.message,
-                "faults": [list(f) for f in exc.faults],
+                "faults": [list(fault) for fault in exc.faults],
             }
         except StoreUnavailable as exc:
             return 503, {"message": exc.message, "accepted": "unknown"}
@@ -95,34 +97,37 @@
         return 200, {"version": version, "accepted": "yes"}
 
     def history(self):
-        """Return the latest changes.
+        """Return the latest changes of the settings.
 
         Returns
         -------
         tuple of int and dict
-            HTTP status and the answer.
+            HTTP status and response body.
         """
         try:
             return 200, {"changes": history(self._table)}
         except StoreUnavailable as exc:
             return 503, {"message": exc.message}
 
-    def _allowed(self, team, credential):
-        known = merge_tree(self._tree())["credentials"].get(team)
-        if known is None:
+    def _is_authorized(self, team, credential):
+        expected_digest = merge_tree(self._tree())["credentials"].get(team)
+        if expected_digest is None:
             return False
         digest = hashlib.sha256(credential.encode()).hexdigest()
-        return hmac.compare_digest(digest, known)
+        return hmac.compare_digest(digest, expected_digest)
 
     def _tree(self):
         return self._cluster_state.tree.tree if self._cluster_state.tree else {}
 
-    def _keep_credentials(self, team, subtree):
-        """Return a subtree with its hidden credentials, which `show` leaves out."""
-        old = self._tree().get(team, {})
-        if "credentials" in subtree or "credentials" not in old:
+    def _with_credentials(self, team, subtree):
+        """Return a subtree with the current credentials if it has none of its own.
+
+        Operators edit what `show` returned, from which credentials are left out.
+        """
+        current = self._tree().get(team, {})
+        if "credentials" in subtree or "credentials" not in current:
             return subtree
-        return {**subtree, "credentials": old["credentials"]}
+        return {**subtree, "credentials": current["credentials"]}
 
 
 def _without_credentials(tree):
@@ -132,7 +137,7 @@
     }
 
 
-def _conflict_answer(exc):
+def _conflict_body(exc):
     return {
         "message": exc.message,
         "base": exc.base,
@@ -141,18 +146,19 @@
     }
 
 
-def _body_problem(body):
+def _body_error(body):
+    """Return what is wrong with the body of a request, or None."""
     if not isinstance(body, dict):
         return "body must be an object"
-    kinds = {"team": str, "subtree": dict, "base": int, "author": str}
-    for name, kind in kinds.items():
-        if not isinstance(body.get(name), kind):
-            return f"{name} must be given as {kind.__name__}"
+    field_types = {"team": str, "subtree": dict, "base": int, "author": str}
+    for field, field_type in field_types.items():
+        if not isinstance(body.get(field), field_type):
+            return f"{field} is required and must be of type {field_type.__name__}"
     return None
 
 
 def create_settings_admin(cluster_state, table, clock):
-    """Return the commands of an instance.
+    """Return the settings administration of one instance.
 
     Parameters
     ----------
--- a/quetzalwall/process/storage/settings_tree.py
+++ b/quetzalwall/process/storage/settings_tree.py
@@ -13,18 +13,18 @@
 
 
 class SettingsTree(NamedTuple):
-    """One accepted version of the settings tree.
+    """An accepted version of the settings tree.
 
     Attributes
     ----------
     version : int
-        Version over all teams.
+        Version of the whole tree; it increases with each change of any subtree.
     team_versions : dict of str to int
         Team to version of its subtree.
     tree : dict
         Team to subtree.
     compiled : CompiledTree
-        What it says, in the terms of the decisions.
+        The tree compiled into configuration, endpoints and look-up settings.
     """
 
     version: int
@@ -34,12 +34,12 @@
 
 
 def read_tree(rows):
-    """Return the settings tree that rows hold.
+    """Return the settings tree that is stored in rows.
 
     Parameters
     ----------
     rows : dict of str to bytes
-        Key to content.
+        Key to value, which is JSON.
 
     Returns
     -------
@@ -49,7 +49,7 @@
     Raises
     ------
     SettingsError
-        The rows can't be read, or the tree has faults.
+        The rows can't be decoded, or the tree is not valid.
     """
     if HEAD_KEY not in rows:
         return None
--- a/quetzalwall/process/storage/store_table.py
+++ b/quetzalwall/process/storage/store_table.py
@@ -1,7 +1,7 @@
-"""Rows of our own in the platform's store, with values in JSON.
+"""The instances' own rows in the platform's store, with JSON values.
 
-Settings, their history and claims are kept in tables of their own, so that an instance
-that follows the settings does not read the others.
+Settings, their history and claims are in separate tables, so that an instance that
+follows changes of the settings does not read the other rows.
 """
 
 from typing import NamedTuple
@@ -16,23 +16,23 @@
     "SETTINGS_TABLE",
     "StoreTable",
     "TableRow",
-    "TableTransaction",
+    "TransactionResult",
     "create_store_table",
 ]
 
 SETTINGS_TABLE = "settings"
 HISTORY_TABLE = "settings-history"
 CLAIMS_TABLE = "claims"
-TABLES = {"config/history/": HISTORY_TABLE, "claim/": CLAIMS_TABLE}
+TABLE_BY_KEY_PREFIX = {"config/history/": HISTORY_TABLE, "claim/": CLAIMS_TABLE}
 
 
 class TableRow(NamedTuple):
-    """A row.
+    """A row of the store; or, with version 0, the absence of a row.
 
     Attributes
     ----------
     version : int
-        Grows with each write of the row; 0 if the row is absent.
+        Increases with each write of the row; 0 if the row is absent.
     value : object
         Decoded JSON; None if the row is absent.
     """
@@ -41,7 +41,7 @@
     value: object
 
 
-class TableTransaction(NamedTuple):
+class TransactionResult(NamedTuple):
     """Result of a transaction.
 
     Attributes
@@ -49,9 +49,9 @@
     committed : bool
         Whether the writes took effect.
     rows : dict of str to TableRow
-        When not committed, the rows whose version differed from the check.
+        If not committed, the rows whose versions were not the expected ones.
     versions : dict of str to int
-        When committed, the new versions of the rows written.
+        If committed, the new versions of the written rows.
     """
 
     committed: bool
@@ -60,12 +60,17 @@
 
 
 class StoreTable:
-    """Rows by key, whichever table they stand in.
+    """Reads and writes rows by key; the prefix of a key decides which table has it.
 
     Parameters
     ----------
     store : StoreClient
-        The store.
+        Client of the store.
+
+    Attributes
+    ----------
+    timeout_s : float
+        Time-out of a call to the store, in seconds.
     """
 
     def __init__(self, store):
@@ -73,7 +78,7 @@
         self.timeout_s = store.timeout_s
 
     def read(self, keys):
-        """Return rows, read one after another in the order of the keys given.
+        """Return rows by key, read one after another in the given order.
 
         Parameters
         ----------
@@ -83,26 +88,26 @@
         Returns
         -------
         dict of str to TableRow
-            One entry for each key, also for an absent row.
+            Has an entry for each key, also if the row is absent.
 
         Raises
         ------
         StoreUnavailable
-            No answer arrived.
+            The store did not respond or rejects calls, or a value is not valid JSON.
         """
-        found = {}
+        rows = {}
         for key in keys:
-            row = self._store.read_row(_table(key), key)
-            found[key] = TableRow(row.version, _decode(row.value))
-        return found
+            row = self._store.read_row(_table_of_key(key), key)
+            rows[key] = TableRow(row.version, _decode(row.value))
+        return rows
 
     def read_range(self, first, end):
-        """Return the rows whose keys lie in a range of one table, 500 at most.
+        """Return the rows of a range of keys in one table, 500 at most.
 
         Parameters
         ----------
         first, end : str
-            The first key, and the first one behind the range.
+            First key of the range, and the first key after it.
 
         Returns
         -------
@@ -111,56 +116,57 @@
         Raises
         ------
         StoreUnavailable
-            No answer arrived.
+            The store did not respond or rejects calls, or a value is not valid JSON.
         """
-        rows = self._store.read_range(_table(first), first, end)
+        rows = self._store.read_range(_table_of_key(first), first, end)
         return [TableRow(row.version, _decode(row.value)) for row in rows]
 
     def transact(self, checks, writes, timeout_s=None):
-        """Write rows if other rows have the expected versions.
+        """Write rows in one transaction if other rows have the expected versions.
 
         Parameters
         ----------
         checks : dict of str to int
-            Key to expected version; 0 expects the row to be absent.
+            Key to expected version; 0 if the row has to be absent.
         writes : dict of str to object
             Key to new value.
         timeout_s : float, default=None
-            Seconds that the call may take.
+            Time-out of the call in seconds; None for that of the store client.
 
         Returns
         -------
-        TableTransaction
+        TransactionResult
 
         Raises
         ------
         StoreUnavailable
-            No answer arrived; the transaction may have taken effect.
+            The store did not respond or rejects calls, or a value is not valid JSON. If
+            it did not respond, the transaction may have taken effect.
         """
         result = self._store.transact(
-            {(_table(key), key): version for key, version in checks.items()},
+            {(_table_of_key(key), key): version for key, version in checks.items()},
             {
-                (_table(key), key): msgspec.json.encode(value)
+                (_table_of_key(key), key): msgspec.json.encode(value)
                 for key, value in writes.items()
             },
             timeout_s,
         )
         if result.committed:
-            return TableTransaction(True, {}, dict.fromkeys(writes, result.version))
-        now = {
+            return TransactionResult(True, {}, dict.fromkeys(writes, result.version))
+        current = {
             row.key: TableRow(row.version, _decode(row.value)) for _, row in result.rows
         }
         absent = TableRow(0, None)
-        changed = {
-            key: now.get(key, absent)
+        conflicts = {
+            key: current.get(key, absent)
             for key, version in checks.items()
-            if now.get(key, absent).version != version
+            if current.get(key, absent).version != version
         }
-        return TableTransaction(False, changed, {})
+        return TransactionResult(False, conflicts, {})
 
 
-def _table(key):
-    for prefix, table in TABLES.items():
+def _table_of_key(key):
+    for prefix, table in TABLE_BY_KEY_PREFIX.items():
         if key.startswith(prefix):
             return table
     return SETTINGS_TABLE
@@ -174,12 +180,12 @@
 
 
 def create_store_table(store):
-    """Return the rows of our own in a store.
+    """Return access to the instances' own rows in a store.
 
     Parameters
     ----------
     store : StoreClient
-        The store.
+        Client of the store.
 
     Returns
     -------
--- a/quetzalwall/process/storage/write_batcher.py
+++ b/quetzalwall/process/storage/write_batcher.py
@@ -1,8 +1,8 @@
-"""Conditional writes of single rows, sent to the table in batches.
+"""Conditional writes of single rows, sent to the store in batches.
 
-The table takes several hundred transactions a second; requests arrive faster. Writes
-that arrive within a few milliseconds share one transaction. A row that fails its check
-is taken out and the others are sent again.
+The store handles several hundred transactions a second; requests arrive faster. Writes
+that arrive within a few milliseconds share one transaction. If rows don't have the
+expected versions, their writes are taken out and the others are sent again.
 """
 
 from typing import NamedTuple
@@ -16,13 +16,13 @@
 
 __all__ = ["RowWrite", "WriteBatcher", "WriteResult", "create_write_batcher"]
 
-GATHER_S = 0.004
-BATCH_ROWS = 64
-BATCHES_IN_FLIGHT = 8
-MAX_PENDING = 4096
-SHORTEST_TIMEOUT_S = 0.1
-FIRST_BACKOFF_S = 0.05
-LONGEST_BACKOFF_S = 1.0
+BATCH_DELAY_S = 0.004  # for which a batch waits for more writes
+MAX_BATCH_ROWS = 64
+MAX_BATCHES_IN_FLIGHT = 8
+MAX_PENDING_WRITES = 4096
+MIN_ATTEMPT_TIMEOUT_S = 0.1
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
 
 
 class WriteResult(NamedTuple):
@@ -33,9 +33,9 @@
     written : bool
         Whether the write took effect.
     version : int
-        Version of the row now.
+        Current version of the row.
     value : object
-        Value of the row when the write did not take effect.
+        Current value of the row if the write did not take effect.
     """
 
     written: bool
@@ -50,19 +50,19 @@
     ----------
     key : str
         Key of the row.
-    expected : int
-        Version that the row must have; 0 for absent.
+    expected_version : int
+        Version that the row must have; 0 if it must be absent.
     value : dict
         New value, with a ``token`` that no other write uses.
-    until : float
-        Monotonic seconds after which the write is given up.
+    deadline : float
+        Monotonic seconds from which on the write is no longer sent.
     """
 
-    def __init__(self, key, expected, value, until):
+    def __init__(self, key, expected_version, value, deadline):
         self.key = key
-        self.expected = expected
+        self.expected_version = expected_version
         self.value = value
-        self.until = until
+        self.deadline = deadline
         self.result = AsyncResult()
 
 
@@ -71,43 +71,43 @@
 
     Parameters
     ----------
-    table : TableClient
-        The table service.
+    table : StoreTable
+        Rows of the store.
     clock : Clock
         Source of time.
     rng : random.Random
-        Spreads retries after an outage.
+        Adds jitter to the backoff after a failed transaction.
     """
 
     def __init__(self, table, clock, rng):
         self._table = table
         self._clock = clock
         self._rng = rng
-        self._queue = Queue(MAX_PENDING)
+        self._queue = Queue(MAX_PENDING_WRITES)
         self._tasks = []
         self._backoff_s = 0.0
 
     def start(self):
-        """Begin to send."""
-        self._tasks = [repeat(self._round, 0) for _ in range(BATCHES_IN_FLIGHT)]
+        """Start sending."""
+        self._tasks = [repeat(self._round, 0) for _ in range(MAX_BATCHES_IN_FLIGHT)]
 
     def close(self):
-        """Stop sending; writes that wait get no result."""
+        """Stop sending; pending writes get no result."""
         gevent.killall(self._tasks)
 
-    def write(self, key, expected, value, until):
+    def write(self, key, expected_version, value, deadline):
         """Write one row if it has the expected version.
 
         Parameters
         ----------
         key : str
             Key of the row.
-        expected : int
-            Version that the row must have; 0 for absent.
+        expected_version : int
+            Version that the row must have; 0 if it must be absent.
         value : dict
             New value, with a ``token`` that no other write uses.
-        until : float
-            Monotonic seconds after which the write is given up.
+        deadline : float
+            Monotonic seconds until which the write is sent and its result awaited.
 
         Returns
         -------
@@ -116,55 +116,58 @@
         Raises
         ------
         StoreUnavailable
-            The table did not answer in time; the write may have taken effect, also
-            later than this.
+            Too many writes are pending, or there was no result before the deadline. In
+            the latter case the write may have taken effect, or may do so later.
         """
-        write = RowWrite(key, expected, value, until)
+        write = RowWrite(key, expected_version, value, deadline)
         if self._queue.full():
-            raise StoreUnavailable("too many writes wait", "queue write", "table")
+            raise StoreUnavailable("too many pending writes", "queue write", "table")
         self._queue.put(write)
-        left_s = max(0.0, until - self._clock.monotonic())
+        remaining_s = max(0.0, deadline - self._clock.monotonic())
         try:
-            return write.result.get(timeout=left_s)
+            return write.result.get(timeout=remaining_s)
         except gevent.Timeout:
-            # The write may be under way in a batch, and take effect later.
+            # The write may be in a batch in flight, and take effect later.
             message = "no answer in time"
             raise StoreUnavailable(message, "write row", "table") from None
 
     def _round(self):
-        batch = self._gather()
+        """Send one batch, until each write has a result or its deadline has passed."""
+        batch = self._collect_batch()
         while batch:
-            batch = self._send(batch)
+            batch = self._send_batch(batch)
 
-    def _gather(self):
+    def _collect_batch(self):
         batch = [self._queue.get()]
         if self._queue.empty():
-            gevent.sleep(GATHER_S)
+            gevent.sleep(BATCH_DELAY_S)
         keys = {batch[0].key}
-        while len(batch) < BATCH_ROWS:
+        while len(batch) < MAX_BATCH_ROWS:
             try:
                 write = self._queue.get_nowait()
             except Empty:
                 break
             if write.key in keys:
-                # One transaction holds each key once; the later write goes next.
+                # A transaction can contain each key only once: left for another batch.
                 self._queue.put(write)
                 break
             keys.add(write.key)
             batch.append(write)
         return batch
 
-    def _send(self, batch):
-        """Send a batch; return the writes to be sent again."""
+    def _send_batch(self, batch):
+        """Send a batch; return the writes that have to be sent again."""
         now = self._clock.monotonic()
-        batch = [write for write in batch if now < write.until]
+        batch = [write for write in batch if now < write.deadline]
         if not batch:
             return []
-        checks = {write.key: write.expected for write in batch}
+        checks = {write.key: write.expected_version for write in batch}
         writes = {write.key: write.value for write in batch}
-        left_s = max(write.until for write in batch) - now
-        # A lost reply must leave time for another attempt.
-        timeout_s = min(self._table.timeout_s, max(SHORTEST_TIMEOUT_S, left_s / 2))
+        remaining_s = max(write.deadline for write in batch) - now
+        # If the response is lost, there has to be time for another attempt.
+        timeout_s = min(
+            self._table.timeout_s, max(MIN_ATTEMPT_TIMEOUT_S, remaining_s / 2)
+        )
         try:
             result = self._table.transact(checks, writes, timeout_s=timeout_s)
         except StoreUnavailable:
@@ -175,29 +178,31 @@
             for write in batch:
                 write.result.set(WriteResult(True, result.versions[write.key], None))
             return []
-        return self._settle_conflicts(batch, result.rows)
+        return self._resolve_conflicts(batch, result.rows)
 
-    def _settle_conflicts(self, batch, rows):
+    def _resolve_conflicts(self, batch, rows):
+        """Set the results of conflicting writes; return the other writes."""
         for write in batch:
             row = rows.get(write.key)
             if row is None:
                 continue
-            mine = isinstance(row.value, dict) and (
+            written = isinstance(row.value, dict) and (
                 row.value.get("token") == write.value["token"]
                 and row.value.get("state") == write.value.get("state")
             )
-            # An earlier attempt whose reply was lost shows as our own token.
-            write.result.set(WriteResult(mine, row.version, row.value))
+            # The write's own token in the row shows that an earlier attempt took
+            # effect, and that its response was lost.
+            write.result.set(WriteResult(written, row.version, row.value))
         return [write for write in batch if write.key not in rows]
 
     def _back_off(self):
-        doubled = max(FIRST_BACKOFF_S, 2 * self._backoff_s)
-        self._backoff_s = min(LONGEST_BACKOFF_S, doubled)
+        doubled_s = max(INITIAL_BACKOFF_S, 2 * self._backoff_s)
+        self._backoff_s = min(MAX_BACKOFF_S, doubled_s)
         gevent.sleep(self._backoff_s * (0.5 + self._rng.random()))
 
 
 def create_write_batcher(table, clock, rng):
-    """Return a batcher that is not yet started.
+    """Return a batcher that is not started yet.
 
     Parameters
     ----------
