--- a/quetzalwall/request/__init__.py
+++ b/quetzalwall/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one request, and the choices made for it."""
+"""Serve requests: choose endpoints, make attempts, and record the results."""
--- a/quetzalwall/request/unanswered.py
+++ b/quetzalwall/request/attempt_failure.py
@@ -1,27 +1,27 @@
-"""What an attempt without an answer says of its endpoint."""
+"""Record an attempt without a response on its endpoint."""
 
 from quetzalwall.exceptions import NotConnected, NotSent
 from quetzalwall.logs import get_logger, log_event
 
-__all__ = ["note_unanswered"]
+__all__ = ["record_attempt_failure"]
 
 LOG = get_logger("request")
 
 
-def note_unanswered(state, exc, now):
-    """Record on an endpoint that an attempt there got no answer.
+def record_attempt_failure(state, exc, now):
+    """Record on an endpoint that an attempt got no response from it.
 
     Parameters
     ----------
     state : EndpointState
         The endpoint.
     exc : EndpointError
-        What became of the attempt.
+        Why the attempt failed.
     now : float
         Monotonic seconds.
     """
     unconnected = isinstance(exc, NotConnected)
     if isinstance(exc, NotSent) and not unconnected:
-        return  # the endpoint has no part in it
+        return  # the failure says nothing about the endpoint
     if state.record_failure(now, certain=unconnected):
         log_event(LOG, "avoided", "warning", endpoint=state.name)
--- a/quetzalwall/request/choice.py
+++ b/quetzalwall/request/choice.py
@@ -1,10 +1,10 @@
-"""What comes of looking for an endpoint for a request."""
+"""Results of choosing an endpoint for a request."""
 
 from typing import NamedTuple
 
 __all__ = ["STOPPING", "Choice", "Rejection"]
 
-STOPPING_RETRY_S = 0.05  # another instance can take it at once
+STOPPING_RETRY_AFTER_S = 0.05  # another instance can accept the request at once
 
 
 class Choice(NamedTuple):
@@ -15,21 +15,23 @@
     state : EndpointState
         The endpoint.
     rank : int
-        Its rank for the object.
+        Its rank among the preferred endpoints of the object.
     cached : bool
-        Whether it should still hold the object.
+        Whether it should still have the object cached.
     reuse_distance : int or None
-        Objects that it has served since it last served this one.
+        Objects that it has served since it last served this one; None if it has not
+        served this one.
     expected_s : float
-        Seconds until the answer.
+        Seconds until the response.
     queueing_delay_s : float
-        Part of it spent waiting for a slot.
+        Part of these seconds spent waiting for a slot.
     slowness : float
-        How long work takes there, 1.0 being usual.
-    of : int
-        Endpoints chosen from.
-    limited : int, default=0
-        Nearer endpoints that the limits that they name leave no room at.
+        Factor on the time that work takes there; 1.0 is usual.
+    candidate_count : int
+        Endpoints that the choice was made from.
+    skipped_at_limit : int, default=0
+        Candidates of lower cost that were skipped because this instance had used up its
+        share of their advertised limits.
     """
 
     state: object
@@ -39,8 +41,8 @@
     expected_s: float
     queueing_delay_s: float
     slowness: float
-    of: int
-    limited: int = 0
+    candidate_count: int
+    skipped_at_limit: int = 0
 
 
 class Rejection(NamedTuple):
@@ -49,13 +51,13 @@
     Attributes
     ----------
     reason : str
-        For the log.
+        For the log, the metrics and the caller.
     retry_after_s : float
-        Seconds after which another attempt is worth while.
+        Seconds after which another attempt is worthwhile.
     """
 
     reason: str
     retry_after_s: float
 
 
-STOPPING = Rejection("stopping", STOPPING_RETRY_S)
+STOPPING = Rejection("stopping", STOPPING_RETRY_AFTER_S)
--- a/quetzalwall/request/claim.py
+++ b/quetzalwall/request/claim.py
@@ -1,10 +1,10 @@
-"""At most one run of a request that is not idempotent.
+"""Claims on idempotency keys, so that a request runs at most once.
 
-The caller sends an idempotency key. Before the request leaves an instance, a row for
-the key is written to the table on condition that it is absent. Whoever finds a row of
-another attempt never runs the request: it answers from the row. A claim is never taken
-over; only the attempt that made it may record that it did not run, after which another
-attempt may claim the key.
+The caller of a request that is not idempotent sends an idempotency key. Before the
+request leaves an instance, a row for the key is written to the table on condition that
+it is absent. An attempt that finds the row of another attempt never runs the request:
+it responds from the row. A claim is never taken over; only the attempt that made it may
+record that it did not run, after which another attempt may claim the key.
 """
 
 import base64
@@ -18,7 +18,7 @@
     "Claim",
     "ClaimConflict",
     "Claims",
-    "RecordedAnswer",
+    "RecordedResponse",
     "create_claims",
     "request_digest",
 ]
@@ -28,7 +28,7 @@
 NOT_RUN = "not-run"
 UNKNOWN = "unknown"
 RECORD_TIMEOUT_S = 30.0
-IN_PROGRESS_MARGIN_S = 5.0
+IN_PROGRESS_MARGIN_S = 5.0  # over the longest duration of the request
 
 
 class Claim(NamedTuple):
@@ -39,7 +39,7 @@
     row_key : str
         Key of the row in the table.
     token : str
-        Names this attempt.
+        Random identity of this attempt.
     version : int
         Version of the row.
     digest : str
@@ -52,8 +52,8 @@
     digest: str
 
 
-class RecordedAnswer(NamedTuple):
-    """An answer kept for repeats of a key."""
+class RecordedResponse(NamedTuple):
+    """A response that is recorded for repeated requests with the same key."""
 
     status: int
     headers: list
@@ -61,20 +61,21 @@
 
 
 class ClaimConflict(NamedTuple):
-    """Another attempt holds the key.
+    """The key is claimed by another attempt.
 
     Attributes
     ----------
     state : str
         ``"done"``, ``"in-progress"``, ``"unknown"`` or ``"mismatch"``.
-    answer : RecordedAnswer or None
-        When done and the answer was small enough to keep.
+    response : RecordedResponse or None
+        The recorded response; None unless the request is done and its response was
+        small enough to be recorded.
     holder : str
         Instance that made the attempt.
     """
 
     state: str
-    answer: RecordedAnswer | None
+    response: RecordedResponse | None
     holder: str
 
 
@@ -90,7 +91,7 @@
     instance : str
         Name of this instance.
     spawn : callable
-        Starts a task; recording an answer must not delay it.
+        Starts a task, so that writing a record does not delay the response.
     """
 
     def __init__(self, batcher, clock, instance, spawn):
@@ -99,7 +100,7 @@
         self._instance = instance
         self._spawn = spawn
 
-    def claim(self, service, key, digest, duration_s, until):
+    def claim(self, service, key, digest, duration_s, deadline):
         """Claim a key before its request is sent.
 
         Parameters
@@ -112,8 +113,8 @@
             From `request_digest`.
         duration_s : float
             Longest time that the request may take.
-        until : float
-            Monotonic seconds after which the caller no longer waits.
+        deadline : float
+            Monotonic seconds after which the claim is abandoned.
 
         Returns
         -------
@@ -122,7 +123,7 @@
         Raises
         ------
         NotRun
-            The table gave no answer, so the request was not sent.
+            The table did not respond in time, so the request was not sent.
         """
         row_key = f"claim/{service}/{key}"
         value = {
@@ -133,34 +134,38 @@
             "at": self._clock.wall(),
             "duration_s": duration_s,
         }
-        expected = 0
+        expected_version = 0
         while True:
-            result = self._write(row_key, expected, value, until)
+            result = self._write(row_key, expected_version, value, deadline)
             if result.written:
                 return Claim(row_key, value["token"], result.version, digest)
-            found = result.value
-            if found is None:
-                expected = 0
-            elif found["state"] == NOT_RUN and found["digest"] == digest:
-                expected = result.version
+            row = result.value
+            if row is None:
+                expected_version = 0
+            elif row["state"] == NOT_RUN and row["digest"] == digest:
+                expected_version = result.version
             else:
-                return self._conflict(found, digest)
+                return self._conflict(row, digest)
 
-    def record_answer(self, claim, answer):
-        """Record the answer of a request that ran, in the background.
+    def record_response(self, claim, response):
+        """Record, in the background, the response of a request that ran.
 
         Parameters
         ----------
         claim : Claim
             From `claim`.
-        answer : RecordedAnswer or None
-            The answer; None if it is too long to keep.
+        response : RecordedResponse or None
+            The response; None if it is too long to be recorded.
         """
-        kept = None
-        if answer is not None:
-            body = base64.b64encode(answer.body).decode()
-            kept = {"status": answer.status, "headers": answer.headers, "body": body}
-        self._record(claim, {"state": DONE, "answer": kept})
+        record = None
+        if response is not None:
+            body = base64.b64encode(response.body).decode()
+            record = {
+                "status": response.status,
+                "headers": response.headers,
+                "body": body,
+            }
+        self._record(claim, {"state": DONE, "answer": record})
 
     def record_not_run(self, claim):
         """Record, in the background, that the request was not and will not be sent.
@@ -173,7 +178,7 @@
         self._record(claim, {"state": NOT_RUN})
 
     def record_unknown(self, claim):
-        """Record, in the background, that the request was sent without an answer.
+        """Record, in the background, that the request was sent and got no response.
 
         Parameters
         ----------
@@ -182,33 +187,33 @@
         """
         self._record(claim, {"state": UNKNOWN})
 
-    def _write(self, row_key, expected, value, until):
+    def _write(self, row_key, expected_version, value, deadline):
         try:
-            return self._batcher.write(row_key, expected, value, until)
+            return self._batcher.write(row_key, expected_version, value, deadline)
         except StoreUnavailable as exc:
-            # The claim may yet take effect, but this attempt ends here.
-            self._abandon(row_key, expected, value)
+            # The write may still take effect, but this attempt ends here.
+            self._spawn_tombstone(row_key, expected_version, value)
             raise NotRun(exc.message, step="claim", peer="table") from exc
 
-    def _abandon(self, row_key, expected, value):
-        self._spawn(self._write_tombstone, row_key, expected, value)
+    def _spawn_tombstone(self, row_key, expected_version, value):
+        self._spawn(self._write_tombstone, row_key, expected_version, value)
 
-    def _write_tombstone(self, row_key, expected, value):
-        """Make sure that a claim whose fate is not known can't hold the key.
+    def _write_tombstone(self, row_key, expected_version, value):
+        """Free the key if the outcome of writing a claim is not known.
 
-        The first write fails if the claim took effect, and keeps it from taking
-        effect later otherwise. The second replaces the claim, and only this attempt's.
+        The first write fails if the claim took effect, and otherwise keeps it from
+        taking effect later. The second replaces the claim if this attempt made it.
         """
         tombstone = {**value, "state": NOT_RUN}
-        until = self._clock.monotonic() + RECORD_TIMEOUT_S
+        deadline = self._clock.monotonic() + RECORD_TIMEOUT_S
         try:
-            result = self._batcher.write(row_key, expected, tombstone, until)
+            result = self._batcher.write(row_key, expected_version, tombstone, deadline)
             if result.written or result.value is None:
                 return
             if result.value["token"] == value["token"]:
-                self._batcher.write(row_key, result.version, tombstone, until)
+                self._batcher.write(row_key, result.version, tombstone, deadline)
         except StoreUnavailable:
-            # Repeats of the key hear "unknown", and nothing runs twice.
+            # Repeated requests get "unknown", and nothing runs twice.
             return
 
     def _record(self, claim, fields):
@@ -223,27 +228,27 @@
             "duration_s": 0.0,
             **fields,
         }
-        until = self._clock.monotonic() + RECORD_TIMEOUT_S
+        deadline = self._clock.monotonic() + RECORD_TIMEOUT_S
         try:
-            self._batcher.write(claim.row_key, claim.version, value, until)
+            self._batcher.write(claim.row_key, claim.version, value, deadline)
         except StoreUnavailable:
-            # The row keeps saying "claimed", which repeats hear as unknown.
+            # The row stays "claimed"; repeated requests get "unknown" later on.
             return
 
-    def _conflict(self, found, digest):
-        if found["digest"] != digest:
-            return ClaimConflict("mismatch", None, found["instance"])
-        if found["state"] == DONE:
-            return ClaimConflict("done", _recorded(found), found["instance"])
-        age_s = self._clock.wall() - found["at"]
-        fresh = age_s < found["duration_s"] + IN_PROGRESS_MARGIN_S
-        if found["state"] == CLAIMED and fresh:
-            return ClaimConflict("in-progress", None, found["instance"])
-        return ClaimConflict("unknown", None, found["instance"])
+    def _conflict(self, row, digest):
+        if row["digest"] != digest:
+            return ClaimConflict("mismatch", None, row["instance"])
+        if row["state"] == DONE:
+            return ClaimConflict("done", _read_response(row), row["instance"])
+        age_s = self._clock.wall() - row["at"]
+        in_time = age_s < row["duration_s"] + IN_PROGRESS_MARGIN_S
+        if row["state"] == CLAIMED and in_time:
+            return ClaimConflict("in-progress", None, row["instance"])
+        return ClaimConflict("unknown", None, row["instance"])
 
 
 def request_digest(method, target, body):
-    """Return a digest that tells whether a repeated key repeats the same request.
+    """Return a digest that tells whether two requests with one key are the same.
 
     Parameters
     ----------
@@ -260,12 +265,12 @@
     return hashlib.sha256(head + body).hexdigest()
 
 
-def _recorded(found):
-    kept = found["answer"]
-    if kept is None:
+def _read_response(row):
+    record = row["answer"]
+    if record is None:
         return None
-    headers = [(name, value) for name, value in kept["headers"]]
-    return RecordedAnswer(kept["status"], headers, base64.b64decode(kept["body"]))
+    headers = [(name, value) for name, value in record["headers"]]
+    return RecordedResponse(record["status"], headers, base64.b64decode(record["body"]))
 
 
 def create_claims(batcher, clock, instance, spawn):
--- a/quetzalwall/request/grace_period.py
+++ b/quetzalwall/request/grace_period.py
@@ -1,11 +1,11 @@
-"""Until when a stopping instance takes requests and has them answered."""
+"""Time limits for requests on an instance that is stopping."""
 
 import math
 
 __all__ = ["GracePeriod", "create_grace_period"]
 
-ACCEPT_PART = 0.4  # of the grace, in which requests are taken that end in time
-ANSWER_PART = 0.9  # of the grace, by which what is taken then must be answered
+ACCEPT_FRACTION = 0.4  # of the grace period; later requests are rejected
+RESPONSE_FRACTION = 0.9  # of the grace period, at which attempts time out
 
 
 class GracePeriod:
@@ -19,9 +19,10 @@
     Attributes
     ----------
     stopping : bool
-        Whether the instance is about to stop, so that what is under way must end.
+        Whether the signal has arrived, so that requests in progress must end.
     end : float
-        Monotonic seconds by which attempts that begin now must be answered.
+        Monotonic seconds by which attempts that begin now must have a response;
+        infinity while the instance is not stopping.
     """
 
     def __init__(self, monotonic):
@@ -31,32 +32,33 @@
         self._monotonic = monotonic
 
     def begin(self, seconds):
-        """Note that the signal has come.
+        """Start the grace period.
 
         Parameters
         ----------
         seconds : float
-            The grace.
+            Length of the grace period.
         """
         now = self._monotonic()
-        self._accept_until = now + ACCEPT_PART * seconds
-        self.end = now + ANSWER_PART * seconds
+        self._accept_until = now + ACCEPT_FRACTION * seconds
+        self.end = now + RESPONSE_FRACTION * seconds
         self.stopping = True
 
     def accept_limit_s(self):
-        """Return the seconds in which a new request must be answered.
+        """Return the time in which a request that is accepted now must end.
 
         Returns
         -------
         float
-            Infinity while nothing is stopping; 0 if none is taken any more.
+            Seconds; infinity while the instance is not stopping, 0 if it does not
+            accept requests any more.
         """
         now = self._monotonic()
         return 0.0 if now > self._accept_until else self.end - now
 
 
 def create_grace_period(monotonic):
-    """Return the grace of an instance that is not stopping.
+    """Return the grace period of an instance that is not stopping.
 
     Parameters
     ----------
--- a/quetzalwall/request/latency_model.py
+++ b/quetzalwall/request/latency_model.py
@@ -1,28 +1,32 @@
-"""What work takes: learned durations and distances."""
+"""Learned processing times, round trips and cache sizes of endpoints.
+
+Work is the time for which an endpoint of usual speed processes a request, without the
+round trip and without queueing.
+"""
 
 import math
 
 __all__ = ["LatencyModel", "create_latency_model"]
 
-WEIGHT = 0.03  # of a new duration in the mean, once enough are known
-FAR_S = 0.07  # round trip to another region until one has been measured
-NEAR_S = 0.002
-MOST_RATIO = 3.0  # a longer answer counts as this much; few take many times as long
-FIRST_KEPT = 24.0  # objects that an endpoint holds, until more is known
-LEAST_KEPT = 4.0
-KEPT_WEIGHT = 0.2  # of one answer in the number of objects held
-QUICK_PART = 0.6  # of the work on an unheld object; held ones take a third
-LEAST_PART = 0.4  # of the mean duration; few requests take less
-KNOWN_AFTER = 20  # answers from which on it is known how long a route's work may take
-ONCE_KNOWN_AFTER = 100  # the same for requests that may not be repeated
-DOUBT_RATIO = 1.25  # of the longest work seen, for work that must end in time
-UNKNOWN_RATIO = 2.0  # of the target, while too little is known
-FADE = 0.005  # by which each answer brings the longest work nearer to its own
-HELD_PART = 0.5  # of a first guess, that an endpoint with the object takes
+EWMA_WEIGHT = 0.03  # of a new sample in the mean, once there are enough samples
+REMOTE_RTT_S = 0.07  # to another region, until a round trip was measured
+LOCAL_RTT_S = 0.002  # within the region, likewise
+MAX_SAMPLE_RATIO = 3.0  # of the mean; samples are clipped, since a few are far longer
+INITIAL_CACHE_SIZE = 24.0  # objects at an endpoint, until more is known
+MIN_CACHE_SIZE = 4.0
+CACHE_SIZE_WEIGHT = 0.2  # of one response in the cache size
+CACHE_HIT_FRACTION = 0.6  # of the uncached work; a request on a cached object takes 1/3
+MIN_WORK_FRACTION = 0.4  # of the mean work; few requests take less
+MIN_SAMPLES = 20  # responses of a route before its maximum work counts as known
+MIN_SAMPLES_NOT_IDEMPOTENT = 100  # the same for requests that must not be repeated
+MAX_WORK_MARGIN = 1.25  # of the longest work seen, where work must end in time
+UNKNOWN_WORK_RATIO = 2.0  # of the target response time, while there are few samples
+MAX_WORK_DECAY = 0.005  # fraction by which a response moves the maximum toward its work
+INITIAL_CACHED_FRACTION = 0.5  # of the initial estimate, if the object is cached
 
 
 class LatencyModel:
-    """Durations of work by route, and round trips by region.
+    """Learns work by route, round trips by region, and cache sizes by service.
 
     Parameters
     ----------
@@ -32,17 +36,17 @@
 
     def __init__(self, region):
         self._region = region
-        self._work = {}
-        self._counts = {}
-        self._kept = {}
-        self._hold = {}
-        self._distance = {}
-        self._longest = {}
-        self._most = {}
-        self._answers = {}
-
-    def longest_s(self, service):
-        """Return the work of the longest kind of request of a service, as learned.
+        self._mean_work = {}
+        self._sample_counts = {}
+        self._cache_sizes = {}
+        self._slot_times = {}
+        self._rtts = {}
+        self._uncached = {}
+        self._max_work = {}
+        self._response_counts = {}
+
+    def longest_work_s(self, service):
+        """Return the mean work of the slowest route of a service, as learned.
 
         Parameters
         ----------
@@ -52,49 +56,49 @@
         Returns
         -------
         float
-            Seconds; 1 while nothing is known.
+            Seconds, for objects that are not cached; 1 while nothing is known.
         """
-        return max(self._longest.get(service, {}).values(), default=1.0)
+        return max(self._uncached.get(service, {}).values(), default=1.0)
 
-    def work_s(self, route, held):
-        """Return how long an endpoint of usual speed works on a request.
+    def work_s(self, route, cached):
+        """Return the mean work of a route's requests.
 
         Parameters
         ----------
         route : Route
             The route.
-        held : bool
-            Whether the endpoint has served the object lately.
+        cached : bool
+            Whether the endpoint has the object cached.
 
         Returns
         -------
         float
             Seconds.
         """
-        learned = self._work.get((route.name, held))
+        learned = self._mean_work.get((route.name, cached))
         if learned is not None:
             return learned
-        return route.target_s * (HELD_PART if held else 1.0)
+        return route.target_s * (INITIAL_CACHED_FRACTION if cached else 1.0)
 
-    def least_work_s(self, route, held):
-        """Return the least time that work is sure to take.
+    def min_work_s(self, route, cached):
+        """Return a lower bound of the work of a route's requests.
 
         Parameters
         ----------
         route : Route
             The route.
-        held : bool
-            Whether the endpoint has served the object lately.
+        cached : bool
+            Whether the endpoint has the object cached.
 
         Returns
         -------
         float
             Seconds; 0 while nothing is known of the route.
         """
-        return LEAST_PART * self._work.get((route.name, held), 0.0)
+        return MIN_WORK_FRACTION * self._mean_work.get((route.name, cached), 0.0)
 
-    def most_work_s(self, route):
-        """Return the time in which work ends, with the doubt counted against it.
+    def max_work_s(self, route):
+        """Return an upper bound of the work of a route's requests, with a margin.
 
         Parameters
         ----------
@@ -105,46 +109,47 @@
         -------
         float
             Seconds at usual speed; infinity while too little is known of requests
-            that may not be repeated.
+            that must not be repeated.
         """
-        most_s = DOUBT_RATIO * self._most.get(route.name, 0.0)
-        needed = KNOWN_AFTER if route.idempotent else ONCE_KNOWN_AFTER
-        if self._answers.get(route.name, 0) >= needed:
-            return most_s
+        max_s = MAX_WORK_MARGIN * self._max_work.get(route.name, 0.0)
+        needed = MIN_SAMPLES if route.idempotent else MIN_SAMPLES_NOT_IDEMPOTENT
+        if self._response_counts.get(route.name, 0) >= needed:
+            return max_s
         if not route.idempotent:
             return math.inf
-        return max(most_s, UNKNOWN_RATIO * route.target_s)
+        return max(max_s, UNKNOWN_WORK_RATIO * route.target_s)
 
-    def note_unfinished(self, route, seconds):
-        """Record that work had not ended after some time.
+    def record_unfinished(self, route, seconds):
+        """Record that a request had no response after some time.
 
         Parameters
         ----------
         route : Route
             The route.
         seconds : float
-            Without an answer.
+            Time without a response.
         """
-        self._most[route.name] = max(seconds, self._most.get(route.name, 0.0))
+        self._max_work[route.name] = max(seconds, self._max_work.get(route.name, 0.0))
 
-    def holds(self, service, depth):
-        """Return whether an endpoint should still hold an object.
+    def is_cached(self, service, reuse_distance):
+        """Return whether an endpoint should still have an object cached.
 
         Parameters
         ----------
         service : str
             Name of the service.
-        depth : int or None
-            Objects that it has served since; None if it has not served this one.
+        reuse_distance : int or None
+            Objects that the endpoint has served since this one; None if it has not
+            served this one.
 
         Returns
         -------
         bool
         """
-        return depth is not None and depth < self.kept(service)
+        return reuse_distance is not None and reuse_distance < self.cache_size(service)
 
-    def kept(self, service):
-        """Return how many objects an endpoint of a service holds, as learned.
+    def cache_size(self, service):
+        """Return how many objects an endpoint of a service caches, as learned.
 
         Parameters
         ----------
@@ -155,35 +160,36 @@
         -------
         float
         """
-        return self._kept.get(service, FIRST_KEPT)
+        return self._cache_sizes.get(service, INITIAL_CACHE_SIZE)
 
-    def learn_cache_size(self, route, service, depth, seconds):
-        """Learn from an answer how many objects an endpoint holds.
+    def learn_cache_size(self, route, service, reuse_distance, seconds):
+        """Learn from a response how many objects an endpoint caches.
 
         Parameters
         ----------
         route : Route
             The route.
         service : str
-            Service that ran the request.
-        depth : int or None
-            Objects that the endpoint had served since it last served this one.
+            Service that processed the request.
+        reuse_distance : int or None
+            Objects that the endpoint had served since it last served this one; None if
+            it had not served this one.
         seconds : float
-            Work, at usual speed.
+            Work of the request.
         """
-        unheld_s = self._work.get((route.name, False))
-        if depth is None or unheld_s is None:
+        uncached_s = self._mean_work.get((route.name, False))
+        if reuse_distance is None or uncached_s is None:
             return
-        kept = self.kept(service)
-        quick = seconds < QUICK_PART * unheld_s
-        if quick and depth >= kept:
-            kept += KEPT_WEIGHT * (depth + 1 - kept)
-        elif not quick and kept / 2 < depth < kept:
-            kept += KEPT_WEIGHT * (depth - kept)
-        self._kept[service] = max(LEAST_KEPT, kept)
+        size = self.cache_size(service)
+        hit = seconds < CACHE_HIT_FRACTION * uncached_s
+        if hit and reuse_distance >= size:
+            size += CACHE_SIZE_WEIGHT * (reuse_distance + 1 - size)
+        elif not hit and size / 2 < reuse_distance < size:
+            size += CACHE_SIZE_WEIGHT * (reuse_distance - size)
+        self._cache_sizes[service] = max(MIN_CACHE_SIZE, size)
 
-    def hold_s(self, service):
-        """Return how long a request of a service holds a slot.
+    def slot_time_s(self, service):
+        """Return the mean time for which a request of a service occupies a slot.
 
         Parameters
         ----------
@@ -195,10 +201,10 @@
         float
             Seconds.
         """
-        return self._hold.get(service, 0.5)
+        return self._slot_times.get(service, 0.5)
 
-    def round_trip_s(self, region):
-        """Return the seconds to a region and back.
+    def rtt_s(self, region):
+        """Return the round-trip time to a region.
 
         Parameters
         ----------
@@ -208,11 +214,12 @@
         Returns
         -------
         float
+            Seconds.
         """
-        default = NEAR_S if region == self._region else FAR_S
-        return self._distance.get(region, default)
+        default = LOCAL_RTT_S if region == self._region else REMOTE_RTT_S
+        return self._rtts.get(region, default)
 
-    def note_distance(self, region, seconds):
+    def record_rtt(self, region, seconds):
         """Record how long it took to open a connection.
 
         Parameters
@@ -220,71 +227,77 @@
         region : str
             Region of the endpoint.
         seconds : float
-            One round trip, and what the endpoint took besides.
+            One round trip, and any delay at the endpoint.
         """
-        old = self.round_trip_s(region)
-        # A queue of new connections makes it longer; the least is the distance.
-        self._distance[region] = min(seconds, old + 0.05 * (seconds - old))
+        old = self.rtt_s(region)
+        # A queue of new connections adds to the round trip, so shorter samples count
+        # at once and longer ones little.
+        self._rtts[region] = min(seconds, old + 0.05 * (seconds - old))
 
-    def record_work(self, route, service, held, seconds):
-        """Record how long an endpoint worked on a request, at usual speed.
+    def record_work(self, route, service, cached, seconds):
+        """Record the work of a request that was answered.
 
         Parameters
         ----------
         route : Route
             The route.
         service : str
-            Service that ran it.
-        held : bool
-            Whether the endpoint has served the object lately.
+            Service that processed it.
+        cached : bool
+            Whether the endpoint had the object cached.
         seconds : float
-            Without the way and the wait.
+            Work, without the round trip and the queueing delay.
         """
-        most_s = self._most.get(route.name, seconds)
-        self._most[route.name] = max(seconds, most_s - FADE * (most_s - seconds))
-        self._answers[route.name] = self._answers.get(route.name, 0) + 1
-        key = (route.name, held)
-        old = self.work_s(route, held)
-        count = self._counts[key] = self._counts.get(key, 0) + 1
-        seconds = min(seconds, MOST_RATIO * old)
-        self._work[key] = old + max(WEIGHT, 1 / (count + 1)) * (seconds - old)
-        if not held:
-            self._longest.setdefault(service, {})[route.name] = self._work[key]
-        hold = self.hold_s(service)
-        self._hold[service] = hold + WEIGHT * (seconds - hold)
-
-
-def wait_s(slots, ahead, hold_s, free_part):
+        max_s = self._max_work.get(route.name, seconds)
+        self._max_work[route.name] = max(
+            seconds, max_s - MAX_WORK_DECAY * (max_s - seconds)
+        )
+        self._response_counts[route.name] = self._response_counts.get(route.name, 0) + 1
+        key = (route.name, cached)
+        old = self.work_s(route, cached)
+        count = self._sample_counts[key] = self._sample_counts.get(key, 0) + 1
+        seconds = min(seconds, MAX_SAMPLE_RATIO * old)
+        self._mean_work[key] = old + max(EWMA_WEIGHT, 1 / (count + 1)) * (seconds - old)
+        if not cached:
+            self._uncached.setdefault(service, {})[route.name] = self._mean_work[key]
+        slot_time_s = self.slot_time_s(service)
+        self._slot_times[service] = slot_time_s + EWMA_WEIGHT * (seconds - slot_time_s)
+
+
+def queueing_delay_s(slots, requests_ahead, slot_time_s, free_fraction):
     """Return the expected wait for a slot.
 
     Parameters
     ----------
     slots : int
-        Requests that run at once.
-    ahead : int
+        Requests that the endpoint processes at once.
+    requests_ahead : int
         Requests that run or wait there.
-    hold_s : float
-        Seconds for which a request holds a slot.
-    free_part : float
-        Part of the slots in use from which on a wait is expected: what is known of
-        the requests ahead is a little old.
+    slot_time_s : float
+        Seconds for which a request occupies a slot.
+    free_fraction : float
+        Fraction of the slots that may be in use before a wait is expected; below 1
+        since the count of requests ahead is slightly out of date.
 
     Returns
     -------
     float
+        Seconds.
 
     Examples
     --------
-    >>> wait_s(6, 2, 0.5, 0.8)
+    >>> queueing_delay_s(6, 2, 0.5, 0.8)
     0.0
-    >>> wait_s(6, 11, 0.6, 1.0)
+    >>> queueing_delay_s(6, 11, 0.6, 1.0)
     0.6
     """
-    return round(max(0.0, ahead + 1 - free_part * slots) / slots * hold_s, 9)
+    return round(
+        max(0.0, requests_ahead + 1 - free_fraction * slots) / slots * slot_time_s, 9
+    )
 
 
 def create_latency_model(region):
-    """Return durations of which nothing is learned yet.
+    """Return a latency model that has learned nothing yet.
 
     Parameters
     ----------
@@ -298,8 +311,8 @@
     return LatencyModel(region)
 
 
-def least(value, other):
-    """Return the smaller of two numbers, of which one may be None.
+def min_of_known(value, other):
+    """Return the smaller of two numbers, either of which may be None.
 
     Parameters
     ----------
@@ -311,5 +324,5 @@
     float
         Infinity if both are None.
     """
-    found = [number for number in (value, other) if number is not None]
-    return min(found, default=math.inf)
+    known = [number for number in (value, other) if number is not None]
+    return min(known, default=math.inf)
--- a/quetzalwall/request/lookup.py
+++ b/quetzalwall/request/lookup.py
@@ -1,31 +1,33 @@
-"""Which instances a caller should use, in order."""
+"""Choose the instances that a look-up names to a caller."""
 
 import xxhash
 
-__all__ = ["sample_by_bandwidth", "order_instances"]
+__all__ = ["order_instances", "sample_by_bandwidth"]
 
-ENOUGH_MBPS = 100.0  # beyond it the processor, not the link, limits an instance
+MAX_WEIGHTED_MBPS = 100.0  # above, the processor limits an instance, not its link
 
 
-def order_instances(cards, region, caller, count):
+def order_instances(instances, region, caller, count):
     """Return the instances that a caller should try, best first.
 
     Parameters
     ----------
-    cards : sequence of PeerInfo
+    instances : sequence of PeerInfo
         Live instances that are not leaving.
     region : str
         Region nearest to the caller.
     caller : str
-        The caller; spreads callers evenly and keeps each at the same instance.
+        Identity of the caller; its hash spreads callers evenly over the instances and
+        keeps each at the same instances.
     count : int
-        Instances at most.
+        Maximum number of instances.
 
     Returns
     -------
     list of PeerInfo
-        Those of the region first, in rendezvous order. The last place goes to another
-        failure domain than the first one's, if there is any.
+        Those of the region first, each part in order of rendezvous hashing. If all
+        would be of one failure domain, the last one is replaced by the first of another
+        domain.
 
     References
     ----------
@@ -33,7 +35,7 @@
        rates", IEEE/ACM Transactions on Networking 6(1), 1998.
     """
     order = sorted(
-        cards,
+        instances,
         key=lambda info: (
             info.region != region,
             xxhash.xxh64_intdigest(f"{caller} {info.name}".encode()),
@@ -48,32 +50,32 @@
     return chosen
 
 
-def sample_by_bandwidth(cards, count, rng):
-    """Draw instances for one look-up, in proportion to the room of their links.
+def sample_by_bandwidth(instances, count, rng):
+    """Draw instances for one look-up, in proportion to the bandwidth of their links.
 
-    Callers use the instances of an answer alike, so that an instance whose link is
-    narrow must be in fewer answers.
+    Callers spread their requests evenly over the instances that a look-up names, so an
+    instance with less bandwidth has to be named less often.
 
     Parameters
     ----------
-    cards : sequence of PeerInfo
+    instances : sequence of PeerInfo
         Instances that may be named.
     count : int
-        Instances at most.
+        Maximum number of instances.
     rng : random.Random
         Source of randomness.
 
     Returns
     -------
     list of PeerInfo
-        All of them if there are no more than ``count``, or if no link is narrow.
+        All of them if there are no more than ``count``, or if all have the same weight.
     """
-    weights = [min(ENOUGH_MBPS, info.link_mbps) for info in cards]
-    if len(cards) <= count or min(weights) == max(weights):
-        return list(cards)
-    keyed = [
+    weights = [min(MAX_WEIGHTED_MBPS, info.link_mbps) for info in instances]
+    if len(instances) <= count or min(weights) == max(weights):
+        return list(instances)
+    weighted = [
         (rng.random() ** (1.0 / weight), info)
-        for weight, info in zip(weights, cards, strict=True)
+        for weight, info in zip(weights, instances, strict=True)
     ]
-    keyed.sort(key=lambda pair: pair[0], reverse=True)
-    return [info for _, info in keyed[:count]]
+    weighted.sort(key=lambda pair: pair[0], reverse=True)
+    return [info for _, info in weighted[:count]]
--- a/quetzalwall/request/request_log.py
+++ b/quetzalwall/request/request_log.py
@@ -8,14 +8,14 @@
     "log_failure",
     "log_finish",
     "log_no_route",
-    "log_refusal",
+    "log_rejection",
 ]
 
 LOG = get_logger("request")
 
 
 def log_abandoned(req):
-    """Write that a request is not sent, since its caller has left.
+    """Log that a request is not sent because its caller has disconnected.
 
     Parameters
     ----------
@@ -23,27 +23,27 @@
         The request.
     """
     log_event(
-        LOG, "abandoned", "warning", req=req.facts.request_id, route=req.route.name
+        LOG, "abandoned", "warning", req=req.metadata.request_id, route=req.route.name
     )
 
 
-def log_no_route(facts, host, path, version):
-    """Write that no route takes a request.
+def log_no_route(metadata, host, path, version):
+    """Log that a request matches no route.
 
     Parameters
     ----------
-    facts : RequestMetadata
-        What the caller said.
+    metadata : RequestMetadata
+        What the caller's headers say.
     host, path : str
-        Asked for.
+        Requested host and path.
     version : int
-        Version of the configuration.
+        Version of the active configuration.
     """
     log_event(
         LOG,
         "no-route",
         "warning",
-        req=facts.request_id,
+        req=metadata.request_id,
         host=host,
         path=path[:80],
         version=version,
@@ -51,26 +51,26 @@
 
 
 def log_choice(req, choice, attempt, now, shift):
-    """Write which endpoint gets a request, and what entered the choice.
+    """Log which endpoint a request is sent to, and the figures behind the choice.
 
     Parameters
     ----------
     req : Request
         The request.
     choice : Choice
-        The endpoint and the figures.
+        The endpoint and the figures of the choice.
     attempt : int
-        1 for the first.
+        Number of the attempt; 1 for the first.
     now : float
         Monotonic seconds.
     shift : str
-        Name of the shift that moves it; empty if none does.
+        Name of the shift that moves the request; empty if none does.
     """
     state = choice.state
     log_event(
         LOG,
         "routed",
-        req=req.facts.request_id,
+        req=req.metadata.request_id,
         route=req.route.name,
         version=req.cfg.version,
         service=req.service,
@@ -87,30 +87,30 @@
         cold=state.cold(now),
         expected_s=choice.expected_s,
         left_s=req.deadline - now,
-        of=choice.of,
-        limited=choice.limited,
+        of=choice.candidate_count,
+        limited=choice.skipped_at_limit,
     )
 
 
-def log_refusal(facts, route, reason, retry_after_s):
-    """Write that a request is refused before it is sent.
+def log_rejection(metadata, route, reason, retry_after_s):
+    """Log that a request is rejected before it is sent.
 
     Parameters
     ----------
-    facts : RequestMetadata
-        What the caller said.
+    metadata : RequestMetadata
+        What the caller's headers say.
     route : str
         Name of its route; empty if it is not known.
     reason : str
-        The rule.
+        Why it is rejected.
     retry_after_s : float
-        Seconds after which the caller is to come back.
+        Seconds after which the caller should try again.
     """
     log_event(
         LOG,
         "refused",
         "warning",
-        req=facts.request_id,
+        req=metadata.request_id,
         route=route or "none",
         reason=reason,
         retry_after_s=retry_after_s,
@@ -118,14 +118,14 @@
 
 
 def log_failure(req, exc, endpoint):
-    """Write that an attempt failed.
+    """Log that an attempt failed.
 
     Parameters
     ----------
     req : Request
         The request.
     exc : EndpointError
-        Why.
+        Why it failed.
     endpoint : str
         Name of the endpoint.
     """
@@ -133,7 +133,7 @@
         LOG,
         "failed",
         "warning",
-        req=req.facts.request_id,
+        req=req.metadata.request_id,
         route=req.route.name,
         endpoint=endpoint,
         kind=type(exc).__name__,
@@ -143,25 +143,25 @@
 
 
 def log_finish(req, outcome, status, endpoint, took_s):
-    """Write what the caller got.
+    """Log the result of a request.
 
     Parameters
     ----------
     req : Request
         The request.
     outcome : str
-        What became of it.
+        Outcome, as of `RequestResult`.
     status : int
-        HTTP status; 0 if the caller left.
+        HTTP status; 0 if the caller disconnected.
     endpoint : str
-        Name of the endpoint that answered; empty if none did.
+        Name of the endpoint that responded; empty if none did.
     took_s : float
         Seconds since the request arrived.
     """
     log_event(
         LOG,
         "finished",
-        req=req.facts.request_id,
+        req=req.metadata.request_id,
         route=req.route.name,
         outcome=outcome,
         status=status,
--- a/quetzalwall/request/response.py
+++ b/quetzalwall/request/response.py
@@ -1,4 +1,4 @@
-"""Answers to callers that are held whole, and refusals."""
+"""Complete responses to callers, and the response that rejects a request."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Response(NamedTuple):
-    """An answer to a caller.
+    """A response to a caller.
 
     Attributes
     ----------
@@ -15,7 +15,7 @@
     headers : list of (str, str)
         Headers without the length.
     body : bytes
-        The whole body.
+        The complete body.
     """
 
     status: int
@@ -24,14 +24,14 @@
 
 
 def rejection_response(retry_after_s, reason):
-    """Return the answer that says that a request has not run and never will.
+    """Return the response that states that a request was not and will not be run.
 
     Parameters
     ----------
     retry_after_s : float
-        Seconds after which another attempt is worth while.
+        Seconds after which another attempt is worthwhile.
     reason : str
-        Why it was refused.
+        Why it was rejected.
 
     Returns
     -------
--- a/quetzalwall/request/still_wanted.py
+++ b/quetzalwall/request/send_checks.py
@@ -1,15 +1,15 @@
-"""Look whether a request is still to be sent, when it has waited."""
+"""Check whether a request that has waited may still be sent."""
 
 from quetzalwall.connection.caller_connection import CallerLeft, is_closed
 from quetzalwall.exceptions import NotSent
 from quetzalwall.request.choice import STOPPING
 from quetzalwall.request.request_log import log_abandoned
 
-__all__ = ["check_caller", "check_wanted"]
+__all__ = ["check_caller_connected", "check_may_send"]
 
 
-def check_caller(req):
-    """Raise if the caller of a request has left.
+def check_caller_connected(req):
+    """Raise if the caller of a request has disconnected.
 
     Parameters
     ----------
@@ -19,15 +19,15 @@
     Raises
     ------
     CallerLeft
-        It closed its connection.
+        The caller closed its connection.
     """
     if req.sock is not None and is_closed(req.sock):
         log_abandoned(req)
         raise CallerLeft
 
 
-def check_wanted(req, choice, endpoints, chooser, grace, now):
-    """Raise if a request that waited for a connection is not to be sent any more.
+def check_may_send(req, choice, endpoints, chooser, grace, now):
+    """Raise if a request that waited for a connection must not be sent any more.
 
     Parameters
     ----------
@@ -38,9 +38,9 @@
     endpoints : EndpointTable
         Tells which endpoints may get requests.
     chooser : Chooser
-        Tells what fits into the time left.
+        Tells whether the request will end before the instance stops.
     grace : GracePeriod
-        Bounds what a stopping instance sends.
+        Limits the requests of an instance that is stopping.
     now : float
         Monotonic seconds.
 
@@ -49,11 +49,12 @@
     CallerLeft
         The caller closed its connection.
     NotSent
-        Its endpoint leaves, or it would not end before this instance stops.
+        The endpoint may not get new requests any more, or the request would not end
+        before this instance stops.
     """
-    check_caller(req)
+    check_caller_connected(req)
     name = choice.state.name
     if not endpoints.is_routable(choice.state):
-        raise NotSent("the endpoint leaves", "admission", name)
+        raise NotSent("the endpoint accepts no new requests", "admission", name)
     if not chooser.fits(req.route, choice, req.deadline - now, grace.end - now):
         raise NotSent(STOPPING.reason, "admission", name)
--- a/quetzalwall/request/tests/test_load_patterns.py
+++ b/quetzalwall/request/tests/test_load_patterns.py
@@ -1,4 +1,4 @@
-"""What callers get under loads that have hurt, played without a network."""
+"""Response times and time-outs under difficult loads, simulated without a network."""
 
 from nose2.tools import params
 
@@ -14,7 +14,7 @@
 from benchmarks.platform_load import play
 
 SEEDS = (1, 2, 3)
-MORE_SEEDS = (1, 2, 3, 4, 5)
+FAILURE_SEEDS = (1, 2, 3, 4, 5)
 
 
 def mean_in_target(pattern, choice="ours"):
@@ -23,27 +23,27 @@
 
 @params(
     ("quiet", QUIET, 0.9),
-    ("more work than cold endpoints can do", COLD_START, 0.9),
-    ("far more work than cold endpoints can do", BEYOND_COLD, 0.9),
-    ("endpoints that hold few objects", FEW_HELD, 0.85),
-    ("few requests an object", FEW_AN_OBJECT, 0.8),
+    ("more work than cold endpoints can process", COLD_START, 0.9),
+    ("far more work than cold endpoints can process", BEYOND_COLD, 0.9),
+    ("endpoints that cache few objects", FEW_HELD, 0.85),
+    ("few requests per object", FEW_AN_OBJECT, 0.8),
     ("slow neighbours", SLOW_NEIGHBOURS, 0.85),
 )
-def test_callers_are_served_in_time(name, pattern, least):
-    ours = mean_in_target(pattern)
-    assert ours >= least, (name, ours)
+def test_requests_meet_their_target_response_time(name, pattern, min_in_target):
+    in_target = mean_in_target(pattern)
+    assert in_target >= min_in_target, (name, in_target)
     for other in ("random", "shortest"):
         baseline = mean_in_target(pattern, other)
-        assert ours > baseline, (name, ours, other, baseline)
+        assert in_target > baseline, (name, in_target, other, baseline)
 
 
-def test_a_cold_start_ends_in_endpoints_that_hold_the_objects():
+def test_cold_start_ends_with_objects_cached():
     for seed in SEEDS:
         result = play(COLD_START, seed=seed)
         assert result.timed_out < 0.05, result
 
 
-def test_a_crowded_service_in_trouble_keeps_objects_where_they_are_held():
-    # Scattered over all endpoints each object costs many times the first, long work.
-    found = [play(TROUBLE, seed=seed).in_target for seed in MORE_SEEDS]
-    assert sum(found) / len(found) >= 0.725, found
+def test_crowded_service_with_failures_keeps_objects_at_their_endpoints():
+    # Spread over all endpoints, each object would cost the long uncached work often.
+    in_target = [play(TROUBLE, seed=seed).in_target for seed in FAILURE_SEEDS]
+    assert sum(in_target) / len(in_target) >= 0.725, in_target
