--- a/quetzalwall/request/claim.py
+++ b/quetzalwall/request/claim.py
@@ -239,10 +239,10 @@
         if row["digest"] != digest:
             return ClaimConflict("mismatch", None, row["instance"])
         if row["state"] == DONE:
-            return ClaimConflict("done", _read_response(row), row["instance"])
+            return ClaimConflict("done", _recorded_response(row), row["instance"])
         age_s = self._clock.wall() - row["at"]
-        in_time = age_s < row["duration_s"] + IN_PROGRESS_MARGIN_S
-        if row["state"] == CLAIMED and in_time:
+        recent = age_s < row["duration_s"] + IN_PROGRESS_MARGIN_S
+        if row["state"] == CLAIMED and recent:
             return ClaimConflict("in-progress", None, row["instance"])
         return ClaimConflict("unknown", None, row["instance"])
 
@@ -265,7 +265,7 @@
     return hashlib.sha256(head + body).hexdigest()
 
 
-def _read_response(row):
+def _recorded_response(row):
     record = row["answer"]
     if record is None:
         return None
--- a/quetzalwall/request/endpoint_chooser.py
+++ b/quetzalwall/request/endpoint_chooser.py
@@ -18,13 +18,13 @@
 
 __all__ = ["Chooser", "Choice", "Rejection", "create_chooser"]
 
-PREFERRED_BONUS_S = 0.06  # off the cost of the first preferred endpoint of an object
+PREFERRED_BONUS_S = 0.06  # off the cost of an object's first preferred endpoint
 SLOT_WEIGHT = 0.7  # fraction of the work in the cost: it delays later requests there
 CONNECT_PENALTY_S = 0.015  # if a new connection is needed
-CROWDING_THRESHOLD = 0.5  # fraction of a service's slots in use
+CROWDING_THRESHOLD = 0.5  # fraction of slots in use; above, each one delays others
 CROWDED_SLOT_WEIGHT = 1.0  # further fraction of the work, times the crowding
 CROWDED_PREFERRED_BONUS_S = 0.6  # further bonus, times the crowding
-UNRESPONSIVE_RATIO = 1.5  # of the longest work, without any response: avoided
+UNRESPONSIVE_RATIO = 1.5  # of the longest work; no response for longer: avoided
 MIN_UNRESPONSIVE_S = 1.0  # reports of other instances come up to half a second late
 UNTRIED_BONUS_S = 0.3  # off the cost of an idle endpoint that has served no objects yet
 YIELDING_QUEUEING_RATIO = 0.5  # of the shortest target of more urgent routes
@@ -135,7 +135,7 @@
                 best, min_cost_s = (state, rank, *estimate[1:]), estimate[0]
         choice = Choice(*best, len(candidates))
         if not self._limit_allows(choice.state, now):
-            choice = self._within_limits(costs, candidates, get_rank, object_key, now)
+            choice = self._choose_allowed(costs, candidates, get_rank, object_key, now)
             if isinstance(choice, Rejection):
                 return choice
         if not self.fits(route, choice, remaining_s, stop_s):
@@ -151,13 +151,13 @@
         return choice
 
     def _limit_allows(self, state, now):
-        """Return whether this instance has an endpoint's advertised limit left."""
+        """Return whether an endpoint's advertised limit allows a request from here."""
         if state.advertised_limit is None:
             return True
         own, names = self._fleet.own_info.name, self._fleet.names()
         return state.advertised_limit.allows(state.name, own, names, now)
 
-    def _within_limits(self, costs, candidates, get_rank, object_key, now):
+    def _choose_allowed(self, costs, candidates, get_rank, object_key, now):
         """Return the choice of lowest cost whose limit allows it, or a rejection."""
         by_cost = []
         for state in candidates:
@@ -251,6 +251,7 @@
         saving_s = self._latency.work_s(route, best.cached)
         saving_s -= self._latency.min_work_s(route, best.cached)
         retry_after_s = _retry_after_s(best.queueing_delay_s)
+        # Even a request with the least work would miss its deadline.
         if best.expected_s - best.slowness * saving_s > remaining_s:
             return Rejection("too late", retry_after_s)
         if best.queueing_delay_s > self._max_queueing_s(cfg, route, service):
--- a/quetzalwall/request/grace_period.py
+++ b/quetzalwall/request/grace_period.py
@@ -4,7 +4,7 @@
 
 __all__ = ["GracePeriod", "create_grace_period"]
 
-ACCEPT_FRACTION = 0.4  # of the grace period; later requests are rejected
+ACCEPT_FRACTION = 0.4  # of the grace period, while requests that fit are accepted
 RESPONSE_FRACTION = 0.9  # of the grace period, at which attempts time out
 
 
--- a/quetzalwall/request/latency_model.py
+++ b/quetzalwall/request/latency_model.py
@@ -9,17 +9,17 @@
 __all__ = ["LatencyModel", "create_latency_model"]
 
 EWMA_WEIGHT = 0.03  # of a new sample in the mean, once there are enough samples
-REMOTE_RTT_S = 0.07  # to another region, until a round trip was measured
-LOCAL_RTT_S = 0.002  # within the region, likewise
+INITIAL_REMOTE_RTT_S = 0.07  # to another region, until a round trip was measured
+INITIAL_LOCAL_RTT_S = 0.002  # within the region, likewise
 MAX_SAMPLE_RATIO = 3.0  # of the mean; samples are clipped, since a few are far longer
 INITIAL_CACHE_SIZE = 24.0  # objects at an endpoint, until more is known
 MIN_CACHE_SIZE = 4.0
 CACHE_SIZE_WEIGHT = 0.2  # of one response in the cache size
-CACHE_HIT_FRACTION = 0.6  # of the uncached work; a request on a cached object takes 1/3
+CACHE_HIT_FRACTION = 0.6  # of the uncached work; cached work is about a third
 MIN_WORK_FRACTION = 0.4  # of the mean work; few requests take less
 MIN_SAMPLES = 20  # responses of a route before its maximum work counts as known
 MIN_SAMPLES_NOT_IDEMPOTENT = 100  # the same for requests that must not be repeated
-MAX_WORK_MARGIN = 1.25  # of the longest work seen, where work must end in time
+MAX_WORK_RATIO = 1.25  # of the longest work seen, where work must end in time
 UNKNOWN_WORK_RATIO = 2.0  # of the target response time, while there are few samples
 MAX_WORK_DECAY = 0.005  # fraction by which a response moves the maximum toward its work
 INITIAL_CACHED_FRACTION = 0.5  # of the initial estimate, if the object is cached
@@ -36,12 +36,12 @@
 
     def __init__(self, region):
         self._region = region
-        self._mean_work = {}
+        self._work = {}
         self._sample_counts = {}
         self._cache_sizes = {}
         self._slot_times = {}
         self._rtts = {}
-        self._uncached = {}
+        self._uncached_work = {}
         self._max_work = {}
         self._response_counts = {}
 
@@ -58,7 +58,7 @@
         float
             Seconds, for objects that are not cached; 1 while nothing is known.
         """
-        return max(self._uncached.get(service, {}).values(), default=1.0)
+        return max(self._uncached_work.get(service, {}).values(), default=1.0)
 
     def work_s(self, route, cached):
         """Return the mean work of a route's requests.
@@ -75,7 +75,7 @@
         float
             Seconds.
         """
-        learned = self._mean_work.get((route.name, cached))
+        learned = self._work.get((route.name, cached))
         if learned is not None:
             return learned
         return route.target_s * (INITIAL_CACHED_FRACTION if cached else 1.0)
@@ -95,7 +95,7 @@
         float
             Seconds; 0 while nothing is known of the route.
         """
-        return MIN_WORK_FRACTION * self._mean_work.get((route.name, cached), 0.0)
+        return MIN_WORK_FRACTION * self._work.get((route.name, cached), 0.0)
 
     def max_work_s(self, route):
         """Return an upper bound of the work of a route's requests, with a margin.
@@ -111,7 +111,7 @@
             Seconds at usual speed; infinity while too little is known of requests
             that must not be repeated.
         """
-        max_s = MAX_WORK_MARGIN * self._max_work.get(route.name, 0.0)
+        max_s = MAX_WORK_RATIO * self._max_work.get(route.name, 0.0)
         needed = MIN_SAMPLES if route.idempotent else MIN_SAMPLES_NOT_IDEMPOTENT
         if self._response_counts.get(route.name, 0) >= needed:
             return max_s
@@ -177,7 +177,7 @@
         seconds : float
             Work of the request.
         """
-        uncached_s = self._mean_work.get((route.name, False))
+        uncached_s = self._work.get((route.name, False))
         if reuse_distance is None or uncached_s is None:
             return
         size = self.cache_size(service)
@@ -216,8 +216,8 @@
         float
             Seconds.
         """
-        default = LOCAL_RTT_S if region == self._region else REMOTE_RTT_S
-        return self._rtts.get(region, default)
+        rtt_s = INITIAL_LOCAL_RTT_S if region == self._region else INITIAL_REMOTE_RTT_S
+        return self._rtts.get(region, rtt_s)
 
     def record_rtt(self, region, seconds):
         """Record how long it took to open a connection.
@@ -257,9 +257,9 @@
         old = self.work_s(route, cached)
         count = self._sample_counts[key] = self._sample_counts.get(key, 0) + 1
         seconds = min(seconds, MAX_SAMPLE_RATIO * old)
-        self._mean_work[key] = old + max(EWMA_WEIGHT, 1 / (count + 1)) * (seconds - old)
+        self._work[key] = old + max(EWMA_WEIGHT, 1 / (count + 1)) * (seconds - old)
         if not cached:
-            self._uncached.setdefault(service, {})[route.name] = self._mean_work[key]
+            self._uncached_work.setdefault(service, {})[route.name] = self._work[key]
         slot_time_s = self.slot_time_s(service)
         self._slot_times[service] = slot_time_s + EWMA_WEIGHT * (seconds - slot_time_s)
 
@@ -272,7 +272,7 @@
     slots : int
         Requests that the endpoint processes at once.
     requests_ahead : int
-        Requests that run or wait there.
+        Requests that are running or queued there.
     slot_time_s : float
         Seconds for which a request occupies a slot.
     free_fraction : float
--- a/quetzalwall/request/request_server.py
+++ b/quetzalwall/request/request_server.py
@@ -40,10 +40,10 @@
 __all__ = ["RequestServer", "create_request_server"]
 
 MAX_TIMEOUT_S = 30.0  # of a request, also if neither caller nor route sets one
-NO_CONFIG_RETRY_S = 0.5  # value of Retry-After, as those below
-FAILED_RETRY_S = 0.2
+NO_CONFIG_RETRY_S = 0.5  # Retry-After until a configuration was read
+FAILED_RETRY_S = 0.2  # Retry-After if all attempts failed
 MIN_FAILURE_STATUS = 500  # HTTP status from which on the endpoint has failed
-NO_MEMORY_RETRY_S = 1.0
+NO_MEMORY_RETRY_S = 1.0  # Retry-After while the memory budget is used up
 MIN_ATTEMPT_S = 0.02  # with less time remaining, another attempt would time out
 
 
@@ -250,7 +250,7 @@
         now = self._monotonic()
         remaining_s = req.deadline - now
         ctx = (req.cfg, req.route, req.service, req.object_key, remaining_s, now, tried)
-        # Further attempts of an accepted request may start until the end.
+        # Attempts of a request that was accepted may start until the end.
         stop_s = self._grace.end - now if tried else self._grace.accept_limit_s()
         shift = self._limits.shifts.choose_shift(req.service, now)
         choice = Rejection("no shift", 0.0)
--- a/quetzalwall/request/run_once.py
+++ b/quetzalwall/request/run_once.py
@@ -11,7 +11,7 @@
 
 CLAIM_TIMEOUT_FRACTION = 0.5  # of the time from arrival to deadline
 REPEATED_HEADER = ("X-Quetzalwall-Repeated", "1")
-MAX_RECORDED_BYTES = 40_000  # body; as text, with headers, it fits a row of the store
+MAX_RECORDED_BYTES = 40_000  # of a body; as base64, with headers, it fits a row
 NOT_RUN_OUTCOMES = ("refused", "not-run")
 
 
