--- a/quetzalwall/process/cluster/endpoint_state.py
+++ b/quetzalwall/process/cluster/endpoint_state.py
@@ -107,7 +107,7 @@
         return now < self._avoid_until
 
     def unresponsive_s(self, now):
-        """Return for how long no instance has got a response from it.
+        """Return for how long requests in flight there have got no response at all.
 
         Parameters
         ----------
--- a/quetzalwall/process/cluster/fleet.py
+++ b/quetzalwall/process/cluster/fleet.py
@@ -48,7 +48,7 @@
     monotonic : callable
         Clock in seconds.
     process_id : int
-        Random number of this process, which tells a restarted instance from the former.
+        Random number of this process; a restarted instance has another one.
 
     Attributes
     ----------
--- a/quetzalwall/process/cluster/tests/test_idle_work.py
+++ b/quetzalwall/process/cluster/tests/test_idle_work.py
@@ -18,7 +18,7 @@
 MAX_GROWTH = 3.0  # of the processor time, with ten times as many instances
 
 
-def create_large_fleet(instances, clock):
+def create_idle_fleet(instances, clock):
     endpoints = create_endpoint_table(DOMAINS, parse_response, clock.monotonic)
     for n in range(10 * instances):
         address = f"10.0.{n // 250}.{n % 250}", 8000
@@ -42,7 +42,7 @@
     runs_s = []
     for _ in range(REPETITIONS):
         clock, cpu_s = ManualClock(), 0.0
-        fleet = create_large_fleet(instances, clock)
+        fleet = create_idle_fleet(instances, clock)
         for step in range(DURATION_S * TICKS_PER_S):
             clock.now += 1 / TICKS_PER_S
             if step % TICKS_PER_S == 0:
