--- a/quetzalwall/clock.py
+++ b/quetzalwall/clock.py
@@ -13,9 +13,10 @@
     Attributes
     ----------
     monotonic : callable returning float
-        Seconds on a clock that never steps; used for every lease and timeout.
+        Seconds on a clock that is never set back or forward; used for every lease and
+        time-out.
     wall : callable returning float
-        Seconds since the epoch; used only in records meant for people.
+        Seconds since the epoch; used only in records that people read.
     """
 
     monotonic: Callable[[], float]
--- a/quetzalwall/exceptions.py
+++ b/quetzalwall/exceptions.py
@@ -1,7 +1,7 @@
 """Exceptions of quetzalwall.
 
 Every exception carries the step at which it arose and the peer that was involved,
-so that a log line or an answer to a caller can name both.
+so that a log line or a response to a caller can name both.
 """
 
 __all__ = [
@@ -50,7 +50,7 @@
     message : str
         Summary of the faults.
     faults : sequence of quetzalwall.version.check.Fault, default=()
-        Every fault found, each with file, path and value.
+        All faults found, each with file, path and value.
     """
 
     def __init__(self, message, faults=(), step="check settings", peer=""):
@@ -59,22 +59,22 @@
 
 
 class ListenError(QuetzalwallError):
-    """An address that the process needs can't be listened on."""
+    """The process can't listen on an address that it needs."""
 
 
 class SettingsConflict(QuetzalwallError):
-    """A subtree changed since the version that a change was made from.
+    """A subtree has changed since the version on which a change was based.
 
     Parameters
     ----------
     message : str
         Summary with both versions.
     base : int
-        Version of the subtree that the change was made from.
+        Version of the subtree on which the change was based.
     current : int
-        Version of the subtree now in the store.
+        Version of the subtree that is now in the store.
     subtree : dict
-        The subtree now in the store.
+        The subtree that is now in the store.
     """
 
     def __init__(self, message, base, current, subtree, peer=""):
@@ -85,15 +85,15 @@
 
 
 class StoreError(QuetzalwallError):
-    """The table service or the object store refused a request."""
+    """The table service or the object store rejected a request."""
 
 
 class StoreUnavailable(StoreError):
-    """No answer came from the store; a write may have taken effect."""
+    """The store did not respond; a write may have taken effect."""
 
 
 class PeerError(QuetzalwallError):
-    """A message to another instance failed or its answer was invalid."""
+    """A request to another instance failed or its response was invalid."""
 
 
 class EndpointError(QuetzalwallError):
@@ -101,7 +101,7 @@
 
 
 class NotRun(EndpointError):
-    """The request was not run: nothing was sent, or the endpoint said so.
+    """The request was not run: it was not sent, or the endpoint reported so.
 
     Parameters
     ----------
@@ -119,16 +119,16 @@
 
 
 class NotConnected(NotSent):
-    """The endpoint accepted no connection."""
+    """No connection to the endpoint could be opened."""
 
 
 class NoRoom(NotSent):
-    """No connection is left to this instance, whatever the endpoint does."""
+    """The instance may open no further connection; the endpoint is not at fault."""
 
 
 class OutcomeUnknown(EndpointError):
-    """Bytes of the request left this instance and no answer arrived."""
+    """Bytes of the request were sent and no response arrived."""
 
 
 class IncompleteAnswer(EndpointError):
-    """An answer began and ended before its declared end."""
+    """A response began and ended before its declared end."""
--- a/quetzalwall/logs.py
+++ b/quetzalwall/logs.py
@@ -23,39 +23,39 @@
     "setup_logs",
 ]
 
-LOGGED_LINES = 5  # of a stack
-MOST_WAITING_LINES = 5000
-MOST_LINE_CHARACTERS = 500  # of what is not written by the system itself
-WRITE_DELAY_S = 0.05  # lines of one moment are written together
-PLAIN_CHARACTERS = frozenset(
+TRACE_LINES = 5  # last lines of a stack trace that are logged
+MAX_QUEUED_LINES = 5000
+MAX_TEXT_CHARACTERS = 500  # of a line that a library wrote to standard error
+WRITE_DELAY_S = 0.05  # lines logged within this time are written together
+UNQUOTED_CHARACTERS = frozenset(
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_./:,+#*%"
 )
 
 
-def get_logger(part):
-    """Return the logger of one part of the system.
+def get_logger(component):
+    """Return the logger of one component of the system.
 
     Parameters
     ----------
-    part : str
+    component : str
         Name written as ``part=`` on each line, for example ``"route"``.
 
     Returns
     -------
     logbook.Logger
     """
-    return logbook.Logger(part)
+    return logbook.Logger(component)
 
 
 def setup_logs(level="INFO", stream=None):
-    """Install the handler that writes lines to a stream.
+    """Install a handler that writes lines to a stream.
 
     Parameters
     ----------
     level : str, default="INFO"
         Lowest level written.
     stream : file object, default=None
-        Where lines go; standard error if None.
+        Stream to write to; standard error if None.
 
     Returns
     -------
@@ -69,12 +69,12 @@
 
 
 class BoundedHandler(logbook.Handler):
-    """Handler that never blocks: lines wait in a bounded queue for one writing task.
+    """Handler that never blocks: one task writes the lines from a bounded queue.
 
     Parameters
     ----------
     descriptor : int
-        Where the lines go.
+        Descriptor to write to.
     level : str
         Lowest level written.
     """
@@ -84,28 +84,28 @@
         self._descriptor = descriptor
         self._lines = deque()
         self._dropped = 0
-        self._writer = None
+        self._write_task = None
 
     def emit(self, record):
-        """Queue one line, or count it as dropped.
+        """Queue one line, or count it as dropped if the queue is full.
 
         Parameters
         ----------
         record : logbook.LogRecord
             The event.
         """
-        if len(self._lines) >= MOST_WAITING_LINES:
+        if len(self._lines) >= MAX_QUEUED_LINES:
             self._dropped += 1
             return
         self._lines.append(_format_record(record, self))
-        if self._writer is None or self._writer.ready():
-            self._writer = gevent.spawn_later(WRITE_DELAY_S, self._write)
+        if self._write_task is None or self._write_task.ready():
+            self._write_task = gevent.spawn_later(WRITE_DELAY_S, self._write)
 
     def flush(self):
-        """Write what waits, as far as it can be written at once."""
+        """Write queued lines until the descriptor would block."""
         data = b""
         while data or self._lines or self._dropped:
-            data = data or self._next_lines()
+            data = data or self._pop_batch()
             try:
                 data = data[os.write(self._descriptor, data) :]
             except OSError:
@@ -113,16 +113,16 @@
 
     def _write(self):
         while self._lines or self._dropped:
-            data = self._next_lines()
+            data = self._pop_batch()
             try:
                 while data:
                     data = data[gevent.os.nb_write(self._descriptor, data) :]
             except OSError:
-                # Nobody reads any more; a stack would be the next line to fail.
+                # The reader is gone; logging the exception would fail as well.
                 self._dropped += data.count(b"\n")
                 return
 
-    def _next_lines(self):
+    def _pop_batch(self):
         lines = [self._lines.popleft() for _ in range(min(64, len(self._lines)))]
         dropped, self._dropped = self._dropped, 0
         if dropped:
@@ -131,13 +131,13 @@
 
 
 class ErrorStream(io.TextIOBase):
-    """Standard error of a daemon: what libraries write there goes into the log.
+    """Standard error of a daemon: logs what libraries write there.
 
-    A pipe that nobody reads would hold the whole process up once it is full.
+    Writing to a pipe that nobody reads would block the whole process once it is full.
     """
 
     def __init__(self):
-        self._text = ""
+        self._partial_line = ""
         self._writing = False
         self._log = get_logger("stderr")
 
@@ -151,25 +151,25 @@
         return True
 
     def write(self, text):
-        """Log each whole line.
+        """Log each complete line.
 
         Parameters
         ----------
         text : str
-            Any part of a line, or several lines.
+            Part of a line, or several lines.
 
         Returns
         -------
         int
         """
-        if self._writing:  # the log itself has failed
+        if self._writing:  # the logger itself failed and writes here
             return len(text)
-        *lines, self._text = (self._text + text).split("\n")
-        self._text = self._text[:MOST_LINE_CHARACTERS]
+        *lines, self._partial_line = (self._partial_line + text).split("\n")
+        self._partial_line = self._partial_line[:MAX_TEXT_CHARACTERS]
         self._writing = True
         try:
             for line in filter(None, map(str.strip, lines)):
-                line = line[:MOST_LINE_CHARACTERS]
+                line = line[:MAX_TEXT_CHARACTERS]
                 log_event(self._log, "written", "error", text=line)
         finally:
             self._writing = False
@@ -177,16 +177,16 @@
 
 
 def setup_bounded_logs(level="INFO", descriptor=1):
-    """Install the handler of a daemon: bounded, and never in a request's way.
+    """Install the bounded, non-blocking handler of a daemon.
 
-    Standard error is led into the log as well, and what waits is written at the exit.
+    Standard error is redirected to the log, and queued lines are flushed at exit.
 
     Parameters
     ----------
     level : str, default="INFO"
         Lowest level written.
     descriptor : int, default=1
-        Where lines go; standard output by default.
+        Descriptor to write to; standard output by default.
 
     Returns
     -------
@@ -202,7 +202,7 @@
 
 
 def describe_failure(exc):
-    """Return what a line says of an exception that was not expected.
+    """Return the log fields of an unexpected exception.
 
     Parameters
     ----------
@@ -214,7 +214,7 @@
     dict of str to str
     """
     lines = traceback.format_exception(exc)
-    text = "".join(lines).splitlines()[-LOGGED_LINES:]
+    text = "".join(lines).splitlines()[-TRACE_LINES:]
     return {"reason": repr(exc), "trace": " | ".join(line.strip() for line in text)}
 
 
@@ -224,13 +224,13 @@
     Parameters
     ----------
     logger : logbook.Logger
-        Logger of the part in which the event occurred.
+        Logger of the component in which the event occurred.
     event : str
         Name of the event.
     level : str, default="info"
         Level of the line.
     **fields
-        The figures of the event, in the order to be written.
+        Further fields of the line, in the order in which they are written.
     """
     getattr(logger, level)(format_fields(event, fields))
 
@@ -260,7 +260,7 @@
 
 
 def _format_record(record, handler):
-    """Return one line; cheaper than a format string with a time in it."""
+    """Return one line; cheaper than logbook's format strings with a time."""
     time = record.time.isoformat(timespec="microseconds")
     return (
         f"time={time} level={record.level_name} part={record.channel} {record.message}"
@@ -271,6 +271,6 @@
     if isinstance(value, float):
         return f"{value:.4g}"
     text = str(value)
-    if text and PLAIN_CHARACTERS.issuperset(text):
+    if text and UNQUOTED_CHARACTERS.issuperset(text):
         return text
     return json.dumps(text)
--- a/quetzalwall/process/__init__.py
+++ b/quetzalwall/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as the process of an entry instance."""
+"""Components that live as long as the process of an instance."""
--- a/quetzalwall/process/front.py
+++ b/quetzalwall/process/front.py
@@ -1,4 +1,4 @@
-"""The daemon of an instance on the platform: starts and stops all parts in order."""
+"""The daemon of an instance: creates, starts and stops all components in order."""
 
 import os
 import platform
@@ -44,11 +44,11 @@
 from quetzalwall.process.listeners import open_in_background, open_listener
 from quetzalwall.process.registration import register, unregister
 from quetzalwall.process.resource_budget import (
-    create_held_bytes,
-    most_connections,
-    most_to_endpoints,
+    create_memory_budget,
+    max_connections,
+    max_endpoint_connections,
 )
-from quetzalwall.process.self_watch import PERIOD_S, create_self_watch
+from quetzalwall.process.self_watch import CHECK_PERIOD_S, create_self_watch
 from quetzalwall.process.storage.settings_admin import create_settings_admin
 from quetzalwall.process.storage.store_table import create_store_table
 from quetzalwall.process.storage.write_batcher import create_write_batcher
@@ -61,18 +61,18 @@
 
 __all__ = ["Front", "create_front", "run_front"]
 
-TICK_S = 0.5
+TICK_PERIOD_S = 0.5
 SETTINGS_PERIOD_S = 1.0
-ROOM_PERIOD_S = 0.25  # a caller gives a new connection up after a second
-LAPSE_PERIOD_S = 0.25  # late by this, a lapsed entry still goes within its bound
+EVICTION_PERIOD_S = 0.25  # callers abandon a connection that waits 1 s to be accepted
+EXPIRY_PERIOD_S = 0.25  # an expired entry removed this late is still within its bound
 STORE_TIMEOUT_S = 1.2
-LEAVE_PART = 0.7  # of the grace, before which a stopping instance does not end
-END_PART = 0.92  # of the grace, after which it ends whatever is under way
+MIN_STOP_FRACTION = 0.7  # of the grace period: a planned stop lasts at least this long
+MAX_STOP_FRACTION = 0.92  # of the grace period: then requests are no longer awaited
 STOP_POLL_S = 0.05
-LAST_LOOK_S = 0.1  # for requests on connections that were accepted before the end
-LAST_LOOKS = 4  # at connections that wait while idle ones take all the room
+FINAL_REQUESTS_S = 0.1  # for requests on the connections that were accepted last
+FINAL_ACCEPT_ROUNDS = 4  # of evicting idle connections for those that wait for accept
 SIGHUP, SIGINT, SIGTERM = 1, 2, 15
-PROCESS_BITS = 48
+PROCESS_BITS = 48  # of the random number that identifies a process
 LOG = get_logger("front")
 
 
@@ -84,7 +84,7 @@
     settings : InstanceSettings
         Checked settings.
     settings_file : str
-        Where they came from; read again when it changes.
+        File of the settings; read again when it changes.
     clock : Clock
         Source of time.
     rng : random.Random
@@ -95,7 +95,7 @@
         self.settings = settings
         self.stopping = False
         self._settings_file = settings_file
-        self._settings_seen = _modified(settings_file)
+        self._settings_signature = _file_signature(settings_file)
         self.clock = clock
         self.rng = rng
         self._stopped = gevent.event.Event()
@@ -112,22 +112,20 @@
         self.endpoints = create_endpoint_table(
             settings.domains, dialect.parse_response, now
         )
-        self.endpoints.connections.max_open = most_to_endpoints(settings.connections)
+        self.endpoints.connections.max_open = max_endpoint_connections(
+            settings.connections
+        )
         self.fleet = create_fleet(
-            info,
-            settings.peer_port,
-            self.endpoints,
-            now,
-            rng.getrandbits(PROCESS_BITS),
+            info, settings.peer_port, self.endpoints, now, rng.getrandbits(PROCESS_BITS)
         )
         self.cluster_state = create_cluster_state(
             self.endpoints, self.fleet, TREE_TABLES if from_tree else PLATFORM_TABLES
         )
-        self.cluster_state.on_configuration = self._take_configuration
+        self.cluster_state.on_configuration = self._apply_configuration
         self._peer_tables = create_peer_tables(
             self.fleet, settings.listen.peers[1], lambda: self.settings.seeds, rng, now
         )
-        self.held = create_held_bytes(settings.memory_mb)
+        self.memory_budget = create_memory_budget(settings.memory_mb)
         self.metrics = create_front_metrics()
         self.limits = FleetLimits(
             create_retry_budget(settings.bounds),
@@ -141,10 +139,12 @@
             self.endpoints, latency, self.limits.cold_start_limiter, self.fleet, rng
         )
         self._store = create_store_client(*settings.store, STORE_TIMEOUT_S)
-        self.operators = self._batcher = claims = None
+        self.settings_admin = self._batcher = claims = None
         if from_tree:
             table = create_store_table(self._store)
-            self.operators = create_settings_admin(self.cluster_state, table, clock)
+            self.settings_admin = create_settings_admin(
+                self.cluster_state, table, clock
+            )
             self._batcher = create_write_batcher(table, clock, rng)
             claims = create_claims(
                 self._batcher, clock, settings.instance, spawn=gevent.spawn
@@ -166,23 +166,23 @@
         }
         self._servers = {}
         self._tasks = []
-        self._forgotten = 0
+        self._removals_seen = 0
 
     @property
     def in_flight(self):
-        """Requests under way, until their answers have been sent."""
-        return self.held.open_requests
+        """Requests whose responses have not been completely sent."""
+        return self.memory_budget.open_requests
 
     def start(self):
-        """Begin service."""
+        """Open all listeners and start all tasks."""
         settings, listen = self.settings, self.settings.listen
         application = create_front_application(
             self.server.serve,
             self.server.malformed_response,
             lambda: self.stopping,
-            self.held,
+            self.memory_budget,
         )
-        callers = most_connections(settings.memory_mb, settings.connections, "callers")
+        callers = max_connections(settings.memory_mb, settings.connections, "callers")
         self._servers = {
             "callers": create_front_server(listen.callers, application, callers),
             **create_interfaces(self),
@@ -199,11 +199,11 @@
         self._tasks = [
             gevent.spawn(register, self._store, self.fleet),
             self._open_metrics(),
-            repeat(self._tick, TICK_S),
+            repeat(self._tick, TICK_PERIOD_S),
             repeat(self._check_settings, SETTINGS_PERIOD_S),
-            repeat(self.self_watch.look, PERIOD_S),
-            repeat(self._make_room, ROOM_PERIOD_S),
-            repeat(self.endpoints.drop_lapsed, LAPSE_PERIOD_S),
+            repeat(self.self_watch.look, CHECK_PERIOD_S),
+            repeat(self._make_room, EVICTION_PERIOD_S),
+            repeat(self.endpoints.drop_lapsed, EXPIRY_PERIOD_S),
         ]
         log_event(
             LOG,
@@ -220,51 +220,51 @@
             connections=self.settings.connections,
         )
 
-    def _open(self, name, place, start):
-        open_listener(name, place, start, self.clock.monotonic)
+    def _open(self, name, address, start):
+        open_listener(name, address, start, self.clock.monotonic)
 
     def _open_metrics(self):
-        place = self.settings.listen.metrics
-        return open_in_background("metrics", place, self._servers["metrics"].start)
+        address = self.settings.listen.metrics
+        return open_in_background("metrics", address, self._servers["metrics"].start)
 
     def wait(self):
         """Wait until the instance has stopped."""
         self._stopped.wait()
 
     def stop(self):
-        """Stop as planned: no request in flight is cut."""
+        """Stop gracefully, after the requests in flight have been served."""
         if self.stopping:
             return
-        began, grace_s = self.clock.monotonic(), self.settings.bounds.grace_s
+        start, grace_s = self.clock.monotonic(), self.settings.bounds.grace_s
         self.stopping = self.fleet.leaving = True
         self._grace.begin(grace_s)
         log_event(LOG, "stopping", in_flight=self.in_flight)
         gevent.spawn(unregister, self._store, self.fleet)
-        end = began + END_PART * grace_s
-        gevent.sleep(LEAVE_PART * grace_s)
-        while self.in_flight and self.clock.monotonic() < end:
+        deadline = start + MAX_STOP_FRACTION * grace_s
+        gevent.sleep(MIN_STOP_FRACTION * grace_s)
+        while self.in_flight and self.clock.monotonic() < deadline:
             gevent.sleep(STOP_POLL_S)
-        self._answer_accepted()
+        self._serve_accept_queue()
         log_event(
             LOG,
             "stopped",
             in_flight=self.in_flight,
-            took_s=self.clock.monotonic() - began,
+            took_s=self.clock.monotonic() - start,
         )
         self.close()
 
-    def _answer_accepted(self):
-        """Answer those who wait to be accepted, then accept no connection any more."""
+    def _serve_accept_queue(self):
+        """Serve the callers that wait to be accepted, then stop accepting."""
         server = self._servers["callers"]
-        for _ in range(LAST_LOOKS):
+        for _ in range(FINAL_ACCEPT_ROUNDS):
             if server.pool.free_count() == 0:
                 server.idle.evict(server.pool, spare_fraction=1.0, min_idle_s=0.0)
             gevent.sleep(STOP_POLL_S)
         server.close()
-        gevent.sleep(LAST_LOOK_S)
+        gevent.sleep(FINAL_REQUESTS_S)
 
     def close(self):
-        """End at once."""
+        """Stop at once."""
         gevent.killall(self._tasks)
         for watch in self._watches.values():
             watch.close()
@@ -278,7 +278,7 @@
         self._stopped.set()
 
     def reload(self):
-        """Read the settings file again; what can't be read stays as it is."""
+        """Read the settings file again; keep the old settings if they are invalid."""
         ignored = []
         try:
             settings = read_settings(self._settings_file, ignored, self.settings)
@@ -286,7 +286,7 @@
             log_event(LOG, "settings-refused", "error", reason=exc.message)
             return
         log_ignored(ignored)
-        self._settings_seen = _modified(self._settings_file)
+        self._settings_signature = _file_signature(self._settings_file)
         self.limits.retry_budget.configure(settings.bounds)
         self.limits.cold_start_limiter.configure(settings.bounds)
         self.endpoints.domains = settings.domains
@@ -296,8 +296,8 @@
         log_event(LOG, "reloaded", file=self._settings_file)
 
     def _create_watch(self, table):
-        def on_rows(rows, whole, away):
-            self.cluster_state.apply(table, rows, whole, away)
+        def on_rows(rows, complete, away):
+            self.cluster_state.apply(table, rows, complete, away)
 
         return create_table_watch(
             self._store,
@@ -309,12 +309,12 @@
         )
 
     def _usage(self):
-        """Return what takes memory, as fields for the log."""
+        """Return log fields that explain the use of memory."""
         return {
             "in_flight": self.in_flight,
             "callers": len(self._servers["callers"].pool),
             "idle": sum(len(state.client.idle) for state in self.endpoints),
-            "held_bytes": self.held.used_bytes,
+            "held_bytes": self.memory_budget.used_bytes,
         }
 
     def _tick(self):
@@ -324,8 +324,8 @@
         self.limits.shifts.adjust()
         age_s = max(watch.check_staleness() for watch in self._watches.values())
         self.metrics.set_gauge("knowledge_age_seconds", age_s)
-        if self.endpoints.removal_count != self._forgotten:
-            self._forgotten = self.endpoints.removal_count
+        if self.endpoints.removal_count != self._removals_seen:
+            self._removals_seen = self.endpoints.removal_count
             self.limits.cold_start_limiter.prune(
                 lambda name: self.endpoints.get(name) is not None
             )
@@ -335,18 +335,19 @@
             if ended := server.idle.evict(server.pool):
                 log_event(LOG, "made-room", "warning", listener=name, ended=ended)
 
-    def _take_configuration(self, cfg):
+    def _apply_configuration(self, cfg):
         self.limits.shifts.configure(cfg.shifts)
         routes = [route for routes in cfg.hosts.values() for route in routes]
         self.limits.split.prune({(route.name, route.split) for route in routes})
         self.metrics.prune_routes({route.name for route in routes})
 
     def _check_settings(self):
-        if _modified(self._settings_file) != self._settings_seen:
+        if _file_signature(self._settings_file) != self._settings_signature:
             self.reload()
 
 
-def _modified(file):
+def _file_signature(file):
+    """Return values that differ after any change of a file; None if there is none."""
     try:
         status = os.stat(file)
     except OSError:
@@ -359,12 +360,8 @@
 
     Parameters
     ----------
-    settings : InstanceSettings
-        Checked settings.
-    settings_file : str
-        Where they came from.
-    clock : Clock, default=None
-        Source of time; that of the system if None.
+    settings, settings_file, clock
+        As of `Front`; the clock of the system if None.
     seed : int, default=None
         Seed of the source of randomness.
 
@@ -381,10 +378,8 @@
 
     Parameters
     ----------
-    settings : InstanceSettings
-        Checked settings.
-    settings_file : str
-        Where they came from.
+    settings, settings_file
+        As of `Front`.
 
     Returns
     -------
--- a/quetzalwall/process/front_interfaces.py
+++ b/quetzalwall/process/front_interfaces.py
@@ -1,4 +1,4 @@
-"""The small interfaces of an instance: readiness, look-ups, operators, metrics."""
+"""HTTP interfaces besides that for callers: readiness, look-ups, settings, metrics."""
 
 from functools import partial
 from urllib.parse import parse_qs
@@ -17,7 +17,7 @@
     lookup_body,
     lookup_place,
 )
-from quetzalwall.process.resource_budget import most_connections
+from quetzalwall.process.resource_budget import max_connections
 from quetzalwall.process.status import instance_status
 from quetzalwall.request.lookup import order_instances, sample_by_bandwidth
 
@@ -25,12 +25,12 @@
 
 METRICS_PATH = "/metrics"
 LOOKUP_TTL_S = 2.0
-LOOKUP_ANSWERS = 3  # instances named; a caller needs another when one fails
+LOOKUP_INSTANCES = 3  # sampled by bandwidth, so that a caller has others if one fails
 LOG = get_logger("front")
 
 
 def create_interfaces(front):
-    """Return the servers of all interfaces but that for callers, not yet started.
+    """Return the servers of all listeners but that for callers, not yet started.
 
     Parameters
     ----------
@@ -43,41 +43,41 @@
         By the name of the listener in the settings.
     """
     settings = front.settings
-    answers = {
-        "health": _health,
-        "lookup": _ask,
-        "peers": _export,
-        "metrics": _metrics,
+    handlers = {
+        "health": _serve_health,
+        "lookup": _serve_lookup,
+        "peers": _serve_peers,
+        "metrics": _serve_metrics,
     }
     servers = {}
-    for name, answer in answers.items():
-        connections = most_connections(settings.memory_mb, settings.connections, name)
+    for name, handler in handlers.items():
+        connections = max_connections(settings.memory_mb, settings.connections, name)
         limits = HttpLimits(max_connections=connections)
-        place = getattr(settings.listen, name)
-        servers[name] = create_server(*place, partial(answer, front), limits)
+        address = getattr(settings.listen, name)
+        servers[name] = create_server(*address, partial(handler, front), limits)
     return servers
 
 
-def _health(front, environ, start_response):
+def _serve_health(front, environ, start_response):
     if environ["PATH_INFO"] == METRICS_PATH:
-        return _metrics(front, environ, start_response)
+        return _serve_metrics(front, environ, start_response)
     if environ["PATH_INFO"] != READY_PATH:
         return json_response(start_response, 404, {"error": "no such path"})
     ready = front.cluster_state.ready() and not front.stopping
     return json_response(start_response, 200 if ready else 503, {"ready": ready})
 
 
-def _ask(front, environ, start_response):
-    """Answer a look-up, or what operators ask."""
+def _serve_lookup(front, environ, start_response):
+    """Handle a look-up, or a request of an operator."""
     path = environ["PATH_INFO"]
     if path == "/status":
         return json_response(start_response, 200, instance_status(front))
-    if front.operators is None:
-        return _lookup(front, environ, start_response)
+    if front.settings_admin is None:
+        return _look_up_host(front, environ, start_response)
     handlers = {
-        "/lookup": _lookup_service,
-        "/settings": _settings,
-        "/settings/history": _history,
+        "/lookup": _look_up_service,
+        "/settings": _handle_settings,
+        "/settings/history": _handle_history,
     }
     try:
         if path not in handlers:
@@ -87,10 +87,10 @@
         return json_response(start_response, exc.status, {"message": exc.message})
 
 
-def _lookup(front, environ, start_response):
+def _look_up_host(front, environ, start_response):
     _, region, domain = lookup_place(environ)
-    chosen = _instances_for(front, region)
-    front.metrics.looked_up()
+    chosen = _select_instances(front, region)
+    front.metrics.record_lookup()
     log_event(
         LOG,
         "lookup",
@@ -106,7 +106,7 @@
     return json_response(start_response, 200, body)
 
 
-def _lookup_service(front, environ, start_response):
+def _look_up_service(front, environ, start_response):
     query = parse_qs(environ["QUERY_STRING"])
     service = query.get("service", [""])[0]
     cfg = front.cluster_state.configuration()
@@ -119,7 +119,7 @@
     compiled = front.cluster_state.tree.compiled
     live = front.fleet.live()
     chosen = order_instances(live, region, caller, compiled.lookup_answers)
-    front.metrics.looked_up()
+    front.metrics.record_lookup()
     log_event(
         LOG,
         "lookup",
@@ -141,50 +141,51 @@
     return json_response(start_response, 200, body, headers)
 
 
-def _settings(front, environ, start_response):
+def _handle_settings(front, environ, start_response):
     if environ["REQUEST_METHOD"] == "GET":
-        return json_response(start_response, 200, front.operators.show())
+        return json_response(start_response, 200, front.settings_admin.show())
     credential = environ.get("HTTP_AUTHORIZATION", "").removeprefix("Bearer ")
-    status, answer = front.operators.put(read_json(environ), credential)
-    return json_response(start_response, status, answer)
+    status, body = front.settings_admin.put(read_json(environ), credential)
+    return json_response(start_response, status, body)
 
 
-def _history(front, environ, start_response):
-    status, answer = front.operators.history()
-    return json_response(start_response, status, answer)
+def _handle_history(front, environ, start_response):
+    status, body = front.settings_admin.history()
+    return json_response(start_response, status, body)
 
 
-def _instances_for(front, region):
+def _select_instances(front, region):
     live = front.fleet.live()
-    near = [info for info in live if info.region == region] or live
-    chosen = sample_by_bandwidth(near, LOOKUP_ANSWERS, front.rng)
+    candidates = [info for info in live if info.region == region] or live
+    chosen = sample_by_bandwidth(candidates, LOOKUP_INSTANCES, front.rng)
     if len(chosen) > MOST_ADDRESSES:
         return front.rng.sample(chosen, MOST_ADDRESSES)
     return chosen
 
 
-def _export(front, environ, start_response):
+def _serve_peers(front, environ, start_response):
+    """Export the rows of a table that changed after a version."""
     table = environ["PATH_INFO"].removeprefix("/tables/")
-    text = parse_qs(environ["QUERY_STRING"]).get("after", ["0"])[0]
+    after = parse_qs(environ["QUERY_STRING"]).get("after", ["0"])[0]
     exported = None
-    if table in front.cluster_state.tables and text.isdigit():
-        exported = front.cluster_state.export(table, int(text))
+    if table in front.cluster_state.tables and after.isdigit():
+        exported = front.cluster_state.export(table, int(after))
     if exported is None:
-        return json_response(start_response, 404, {"error": "not known here"})
+        return json_response(start_response, 404, {"error": "table not available"})
     return json_response(start_response, 200, exported)
 
 
-def _metrics(front, environ, start_response):
+def _serve_metrics(front, environ, start_response):
     cfg = front.cluster_state.configuration()
     front.metrics.set_gauge("in_flight", front.in_flight)
     front.metrics.set_gauge("instances_live", len(front.fleet.live()))
     front.metrics.set_gauge("endpoints", len(front.endpoints))
     front.metrics.set_gauge("config_version", cfg.version if cfg else 0)
-    front.metrics.set_gauge("held_bytes", front.held.used_bytes)
-    front.metrics.set_gauge("resident_bytes", front.self_watch.resident)
-    front.metrics.set_gauge("event_loop_held_seconds", front.self_watch.held_s)
+    front.metrics.set_gauge("held_bytes", front.memory_budget.used_bytes)
+    front.metrics.set_gauge("resident_bytes", front.self_watch.rss_bytes)
+    front.metrics.set_gauge("event_loop_held_seconds", front.self_watch.loop_lag_s)
     raw = front.metrics.render()
-    kind = "text/plain; version=0.0.4; charset=utf-8"
-    headers = [("Content-Type", kind), ("Content-Length", str(len(raw)))]
+    content_type = "text/plain; version=0.0.4; charset=utf-8"
+    headers = [("Content-Type", content_type), ("Content-Length", str(len(raw)))]
     start_response("200 OK", headers)
     return [raw]
--- a/quetzalwall/process/front_metrics.py
+++ b/quetzalwall/process/front_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of an instance that serves callers, in the format of Prometheus."""
+"""Metrics of an instance in the format of Prometheus."""
 
 from prometheus_client import (
     CollectorRegistry,
@@ -10,24 +10,24 @@
 
 __all__ = ["FrontMetrics", "create_front_metrics"]
 
-BUCKETS_S = (0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2, 3, 5, 10, 30)
+DURATION_BUCKETS_S = (0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2, 3, 5, 10, 30)
 
 
 class FrontMetrics:
-    """Counters, gauges and histograms in a registry of their own."""
+    """Counters, gauges and a histogram, in a registry of their own."""
 
     def __init__(self):
         self.registry = CollectorRegistry()
-        self._answers = self._counter("answers", ["route", "outcome", "status"])
-        self._refusals = self._counter("refusals", ["route", "reason"])
-        self._failures = self._counter("attempts_failed", ["service", "kind"])
-        self._elsewhere = self._counter("limited_elsewhere", ["service"])
+        self._responses = self._counter("answers", ["route", "outcome", "status"])
+        self._rejections = self._counter("refusals", ["route", "reason"])
+        self._failed_attempts = self._counter("attempts_failed", ["service", "kind"])
+        self._diversions = self._counter("limited_elsewhere", ["service"])
         self._lookups = self._counter("lookups", [])
-        self._seconds = Histogram(
+        self._durations = Histogram(
             "quetzalwall_request_seconds",
-            "From a request's arrival to its answer",
+            "Seconds from the arrival of a request to its response",
             ["route"],
-            buckets=BUCKETS_S,
+            buckets=DURATION_BUCKETS_S,
             registry=self.registry,
         )
         self._gauges = {}
@@ -41,22 +41,22 @@
         route, outcome : str
             Labels.
         status : int
-            HTTP status; 0 if the caller left.
+            HTTP status; 0 if the caller disconnected.
         seconds : float
-            From its arrival.
+            Time since its arrival.
         """
-        self._child(self._answers, route, outcome, str(status)).inc()
-        self._child(self._seconds, route).observe(seconds)
+        self._child(self._responses, route, outcome, str(status)).inc()
+        self._child(self._durations, route).observe(seconds)
 
     def record_rejection(self, route, reason):
-        """Count a request that was refused before it was sent.
+        """Count a request that was rejected before it was sent.
 
         Parameters
         ----------
         route, reason : str
             Labels.
         """
-        self._child(self._refusals, route, reason).inc()
+        self._child(self._rejections, route, reason).inc()
 
     def record_failed_attempt(self, service, kind):
         """Count an attempt that failed.
@@ -66,35 +66,35 @@
         service, kind : str
             Labels.
         """
-        self._child(self._failures, service, kind).inc()
+        self._child(self._failed_attempts, service, kind).inc()
 
     def record_diversion(self, service):
-        """Count a request that a nearer endpoint's limit left no room for.
+        """Count a request diverted by the limit that a preferred endpoint advertises.
 
         Parameters
         ----------
         service : str
             Label.
         """
-        self._child(self._elsewhere, service).inc()
+        self._child(self._diversions, service).inc()
 
     def prune_routes(self, routes):
-        """Drop the figures of routes that are gone.
+        """Remove the metrics of routes that no longer exist.
 
         Parameters
         ----------
         routes : set of str
-            Names of the routes in force.
+            Names of the routes of the active configuration.
         """
         for key in list(self._children):
             metric, labels = key
-            if metric in (self._failures, self._elsewhere) or not labels[0]:
+            if metric in (self._failed_attempts, self._diversions) or not labels[0]:
                 continue
             if labels[0] not in routes:
                 del self._children[key]
                 metric.remove(*labels)
 
-    def looked_up(self):
+    def record_lookup(self):
         """Count a look-up."""
         self._lookups.inc()
 
@@ -104,9 +104,9 @@
         Parameters
         ----------
         name : str
-            Name without prefix.
+            Name without the prefix ``quetzalwall_``.
         value : float
-            Its value.
+            New value.
         """
         gauge = self._gauges.get(name)
         if gauge is None:
@@ -124,11 +124,11 @@
         return generate_latest(self.registry)
 
     def _counter(self, name, labels):
-        full = f"quetzalwall_{name}"
-        return Counter(full, name, labels, registry=self.registry)
+        full_name = f"quetzalwall_{name}"
+        return Counter(full_name, name, labels, registry=self.registry)
 
     def _child(self, metric, *labels):
-        # The library's own look-up of labels takes a lock and costs more.
+        # Cheaper than the library's own look-up of labels, which takes a lock.
         key = (metric, labels)
         child = self._children.get(key)
         if child is None:
@@ -137,7 +137,7 @@
 
 
 def create_front_metrics():
-    """Return metrics that count from zero.
+    """Return metrics that start at zero.
 
     Returns
     -------
--- a/quetzalwall/process/listeners.py
+++ b/quetzalwall/process/listeners.py
@@ -1,4 +1,4 @@
-"""Open the addresses that a process listens on, also when they are not free at once."""
+"""Opens listening sockets; retries while an address is in use."""
 
 import gevent
 
@@ -7,86 +7,86 @@
 
 __all__ = ["open_in_background", "open_listener"]
 
-LIMIT_S = 10.0  # in which a former process has ended
+OPEN_TIMEOUT_S = 10.0  # a previous process on the address has ended by then
 RETRY_S = 0.5
 BACKGROUND_RETRY_S = 2.0
 LOG = get_logger("front")
 
 
-def open_listener(name, place, start, monotonic):
-    """Open a listener without which the process is of no use.
+def open_listener(name, address, start, monotonic):
+    """Open a listener that the process can't work without.
 
     Parameters
     ----------
     name : str
-        What it is for.
-    place : (str, int)
+        Name of the listener, for logs and errors.
+    address : (str, int)
         IP number and port.
     start : callable
-        Opens it; raises OSError if that fails.
+        Opens the listener; raises OSError if that fails.
     monotonic : callable
         Clock in seconds.
 
     Raises
     ------
     ListenError
-        It could not be opened within some seconds.
+        The listener could not be opened within `OPEN_TIMEOUT_S`.
     """
-    until = monotonic() + LIMIT_S
+    deadline = monotonic() + OPEN_TIMEOUT_S
     while True:
         try:
             return start()
         except OSError as exc:
-            _log_closed(name, place, exc)
-            if monotonic() >= until:
-                host, port = place
+            _log_open_failure(name, address, exc)
+            if monotonic() >= deadline:
+                host, port = address
                 message = f"{name} at {host}:{port} can't be opened: {exc}"
                 raise ListenError(message, step="listen") from exc
         gevent.sleep(RETRY_S)
 
 
-def open_in_background(name, place, start):
-    """Start a task that opens a listener without which the process can serve.
+def open_in_background(name, address, start):
+    """Start a task that opens a listener that the process can work without.
 
     Parameters
     ----------
     name : str
-        What it is for.
-    place : (str, int)
+        Name of the listener, for logs.
+    address : (str, int)
         IP number and port.
     start : callable
-        Opens it; raises OSError if that fails.
+        Opens the listener; raises OSError if that fails.
 
     Returns
     -------
     gevent.Greenlet
     """
-    return gevent.spawn(_keep_opening, name, place, start)
+    return gevent.spawn(_retry_open, name, address, start)
 
 
-def _keep_opening(name, place, start):
+def _retry_open(name, address, start):
     failed = False
     while True:
         try:
             start()
         except OSError as exc:
             if not failed:
-                _log_closed(name, place, exc)
+                _log_open_failure(name, address, exc)
             failed = True
             gevent.sleep(BACKGROUND_RETRY_S)
             continue
         if failed:
-            log_event(LOG, "listening", listener=name, port=place[1])
+            log_event(LOG, "listening", listener=name, port=address[1])
         return
 
 
-def _log_closed(name, place, exc):
+def _log_open_failure(name, address, exc):
     log_event(
         LOG,
         "not-listening",
         "error",
         listener=name,
-        address=place[0],
-        port=place[1],
+        address=address[0],
+        port=address[1],
         reason=str(exc),
     )
--- a/quetzalwall/process/registration.py
+++ b/quetzalwall/process/registration.py
@@ -1,4 +1,4 @@
-"""The row by which an instance makes itself known to the others."""
+"""Registration of an instance in the store, by which the other instances find it."""
 
 import gevent
 import msgspec
@@ -15,23 +15,24 @@
 
 
 def register(store, fleet):
-    """Write the row of this instance, then learn of the others; try until it is done.
+    """Write the row of this instance, then read those of the others, with retries.
 
-    In this order, of two instances that start at once one sees the other.
+    Writing first ensures that of two instances that start at the same time at least one
+    finds the other.
 
     Parameters
     ----------
     store : StoreClient
         The store.
     fleet : Fleet
-        The other instances, and who this one is.
+        Has the identity of this instance; gets the other instances.
     """
     info = msgspec.json.encode(fleet.own_info)
     while True:
         try:
             store.put(INSTANCES_TABLE, fleet.own_info.name, info)
             for row in store.read(INSTANCES_TABLE).rows:
-                _introduce(fleet, row)
+                _add_instance(fleet, row)
             return
         except StoreError as exc:
             log_event(LOG, "not-registered", "warning", reason=exc.message)
@@ -48,7 +49,7 @@
     store : StoreClient
         The store.
     fleet : Fleet
-        Tells who this instance is.
+        Has the identity of this instance.
     """
     try:
         store.put(INSTANCES_TABLE, fleet.own_info.name, None)
@@ -56,7 +57,7 @@
         log_event(LOG, "not-unregistered", "warning", reason=exc.message)
 
 
-def _introduce(fleet, row):
+def _add_instance(fleet, row):
     try:
         fleet.add_registered(msgspec.json.decode(row.value, type=PeerInfo))
     except (msgspec.DecodeError, RecursionError) as exc:
--- a/quetzalwall/process/resource_budget.py
+++ b/quetzalwall/process/resource_budget.py
@@ -1,7 +1,7 @@
-"""How the memory and the descriptors of a machine are divided.
+"""Division of a machine's memory and file descriptors among their uses.
 
-All that callers can make an instance hold comes out of one plan, so that together it
-fits the machine whatever they do.
+All memory and descriptors that callers can make an instance use are divided here, so
+that their sum fits the machine whatever callers do.
 """
 
 import resource
@@ -9,41 +9,42 @@
 from quetzalwall.connection.memory_budget import MemoryBudget
 
 __all__ = [
-    "create_held_bytes",
-    "most_connections",
-    "most_to_endpoints",
+    "create_memory_budget",
+    "max_connections",
+    "max_endpoint_connections",
     "usable_descriptors",
 ]
 
 MB = 1_000_000
-OWN_MB = 56.0  # the process without any caller, its log and what it has learned
-HELD_PART = 0.25  # of the rest, for bodies; each byte is copied once on its way
-LEAST_HELD_BYTES = 4 * MB
-CONNECTION_BYTES = 36_000  # a connection with a request at work, without its body
-LEAST_CONNECTIONS = 16  # of a listener, on a machine with hardly any memory
-# Parts of the rest of the memory for the connections of each listener.
-MEMORY_PARTS = {
+BASE_MEMORY_MB = 56.0  # process without callers, with its log and cluster state
+BODY_MEMORY_FRACTION = 0.25  # of the rest, for bodies; each byte is copied once
+MIN_BODY_BYTES = 4 * MB
+CONNECTION_BYTES = 36_000  # a connection with a request in flight, without its body
+MIN_CONNECTIONS = 16  # of a listener, on a machine with hardly any memory
+# Fractions of the rest of the memory for the connections of each listener.
+MEMORY_FRACTIONS = {
     "callers": 0.35,
     "lookup": 0.1,
     "health": 0.01,
     "peers": 0.01,
     "metrics": 0.005,
 }
-FILE_DESCRIPTORS = 200  # for files
-LEAST_TO_ENDPOINTS = 4  # connections, where there are hardly any descriptors
-# Parts of the other descriptors; what remains is for the listeners themselves, the
-# store, other instances and pipes. A request at work has a connection of two kinds.
-DESCRIPTOR_PARTS = {
+RESERVED_DESCRIPTORS = 200  # for files
+MIN_ENDPOINT_CONNECTIONS = 4  # on a machine with hardly any descriptors
+# Fractions of the other descriptors for the connections of each listener. A request in
+# flight takes two: one for its caller and one for its endpoint. What remains is for the
+# listening sockets, the store, other instances and pipes.
+DESCRIPTOR_FRACTIONS = {
     "callers": 0.5,
     "lookup": 0.2,
     "health": 0.02,
     "peers": 0.02,
     "metrics": 0.01,
 }
-ENDPOINTS_PART = 0.2  # at work and idle
+ENDPOINT_FRACTION = 0.2  # for connections to endpoints, in use and idle
 
 
-def most_connections(memory_mb, descriptors, name):
+def max_connections(memory_mb, descriptors, name):
     """Return the connections that a listener may have open at once.
 
     Parameters
@@ -59,12 +60,12 @@
     -------
     int
     """
-    by_descriptors = (descriptors - FILE_DESCRIPTORS) * DESCRIPTOR_PARTS[name]
-    by_memory = _rest_bytes(memory_mb) * MEMORY_PARTS[name] / CONNECTION_BYTES
-    return max(1, int(min(by_descriptors, max(LEAST_CONNECTIONS, by_memory))))
+    by_descriptors = (descriptors - RESERVED_DESCRIPTORS) * DESCRIPTOR_FRACTIONS[name]
+    by_memory = _rest_bytes(memory_mb) * MEMORY_FRACTIONS[name] / CONNECTION_BYTES
+    return max(1, int(min(by_descriptors, max(MIN_CONNECTIONS, by_memory))))
 
 
-def most_to_endpoints(descriptors):
+def max_endpoint_connections(descriptors):
     """Return the connections to endpoints that may be open at once.
 
     Parameters
@@ -76,28 +77,28 @@
     -------
     int
     """
-    part = (descriptors - FILE_DESCRIPTORS) * ENDPOINTS_PART
-    return max(LEAST_TO_ENDPOINTS, int(part))
+    share = (descriptors - RESERVED_DESCRIPTORS) * ENDPOINT_FRACTION
+    return max(MIN_ENDPOINT_CONNECTIONS, int(share))
 
 
-def usable_descriptors(wanted):
-    """Return how many descriptors of the settings the system lets the process open.
+def usable_descriptors(configured):
+    """Return the configured number of descriptors, capped by the system's limit.
 
     Parameters
     ----------
-    wanted : int
-        Descriptors that it may have open by its settings.
+    configured : int
+        Descriptors that the process may have open according to its settings.
 
     Returns
     -------
     int
     """
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return wanted if soft == resource.RLIM_INFINITY else min(wanted, soft)
+    return configured if soft == resource.RLIM_INFINITY else min(configured, soft)
 
 
-def create_held_bytes(memory_mb):
-    """Return the count of a process that holds no bodies yet.
+def create_memory_budget(memory_mb):
+    """Return the budget for bodies of a process that has no requests yet.
 
     Parameters
     ----------
@@ -108,8 +109,10 @@
     -------
     MemoryBudget
     """
-    return MemoryBudget(max(LEAST_HELD_BYTES, int(_rest_bytes(memory_mb) * HELD_PART)))
+    return MemoryBudget(
+        max(MIN_BODY_BYTES, int(_rest_bytes(memory_mb) * BODY_MEMORY_FRACTION))
+    )
 
 
 def _rest_bytes(memory_mb):
-    return max(0.0, memory_mb - OWN_MB) * MB
+    return max(0.0, memory_mb - BASE_MEMORY_MB) * MB
--- a/quetzalwall/process/self_watch.py
+++ b/quetzalwall/process/self_watch.py
@@ -1,4 +1,4 @@
-"""What a process knows of itself: its memory, and whether its event loop was held."""
+"""Monitoring of the own process: its memory and the lag of its event loop."""
 
 import os
 
@@ -6,95 +6,95 @@
 
 __all__ = ["SelfWatch", "create_self_watch", "resident_bytes"]
 
-PERIOD_S = 0.5  # between two looks
-LOOP_LAG_LIMIT_S = 0.25  # beyond the period, a look counts as late
-MEMORY_STEPS = 8  # of the machine's memory; each new one that is passed is logged
+CHECK_PERIOD_S = 0.5
+LOOP_LAG_LIMIT_S = 0.25  # a longer lag of the event loop is logged
+MEMORY_STEPS = 8  # equal steps up to the machine's memory; each one reached is logged
 STATM = "/proc/{}/statm"
 MB = 1_000_000
 LOG = get_logger("process")
 
 
 class SelfWatch:
-    """Looks at the own process.
+    """Monitors the own process.
 
     Parameters
     ----------
     memory_mb : float
         Memory of the machine in MB.
     usage : callable
-        What takes memory, as a dict of fields for the log.
+        Returns a dict of log fields that explain the use of memory.
     monotonic : callable
         Clock in seconds.
 
     Attributes
     ----------
-    resident : int
-        Bytes of memory at the last look.
-    held_s : float
-        Longest time for which the event loop was held, in seconds.
+    rss_bytes : int
+        Resident memory in bytes at the last check.
+    loop_lag_s : float
+        Longest time in seconds for which the event loop was blocked.
     """
 
     def __init__(self, memory_mb, usage, monotonic):
-        self.resident = 0
-        self.held_s = 0.0
+        self.rss_bytes = 0
+        self.loop_lag_s = 0.0
         self._memory_mb = memory_mb
         self._usage = usage
         self._monotonic = monotonic
-        self._looked = None
-        self._step = 0
+        self._last_check = None
+        self._memory_step = 0
 
     def look(self):
-        """Log what has changed since the last look."""
+        """Log a blocked event loop and growth of memory since the last check."""
         now = self._monotonic()
-        self._note_held(now)
-        self._note_memory()
-        self._looked = now
+        self._check_loop_lag(now)
+        self._check_memory()
+        self._last_check = now
 
-    def _note_held(self, now):
-        if self._looked is None:
+    def _check_loop_lag(self, now):
+        if self._last_check is None:
             return
-        held_s = now - self._looked - PERIOD_S
-        self.held_s = max(self.held_s, held_s)
-        if held_s > LOOP_LAG_LIMIT_S:
-            log_event(LOG, "held-up", "warning", held_s=held_s, **self._usage())
-
-    def _note_memory(self):
-        self.resident = resident_bytes()
-        step = int(self.resident / MB / self._memory_mb * MEMORY_STEPS)
-        if step > self._step:
+        lag_s = now - self._last_check - CHECK_PERIOD_S
+        self.loop_lag_s = max(self.loop_lag_s, lag_s)
+        if lag_s > LOOP_LAG_LIMIT_S:
+            log_event(LOG, "held-up", "warning", held_s=lag_s, **self._usage())
+
+    def _check_memory(self):
+        self.rss_bytes = resident_bytes()
+        step = int(self.rss_bytes / MB / self._memory_mb * MEMORY_STEPS)
+        if step > self._memory_step:
             log_event(
                 LOG,
                 "memory",
                 "warning" if step > MEMORY_STEPS // 2 else "info",
-                resident_mb=self.resident // MB,
+                resident_mb=self.rss_bytes // MB,
                 of_mb=self._memory_mb,
                 **self._usage(),
             )
-        self._step = step
+        self._memory_step = step
 
 
-def resident_bytes(process="self"):
-    """Return the bytes of memory that a process holds.
+def resident_bytes(pid="self"):
+    """Return the resident memory of a process in bytes.
 
     Parameters
     ----------
-    process : int or "self"
-        Number of the process.
+    pid : int or "self"
+        Identifier of the process.
 
     Returns
     -------
     int
-        0 where the system does not tell.
+        0 if it can't be read.
     """
     try:
-        with open(STATM.format(process)) as stream:
+        with open(STATM.format(pid)) as stream:
             return int(stream.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
     except (OSError, ValueError, IndexError):
         return 0
 
 
 def create_self_watch(memory_mb, usage, monotonic):
-    """Return a watch of the own process.
+    """Return a monitor of the own process.
 
     Parameters
     ----------
--- a/quetzalwall/process/status.py
+++ b/quetzalwall/process/status.py
@@ -1,10 +1,10 @@
-"""What operators see of one instance."""
+"""Status of an instance, as operators see it."""
 
 __all__ = ["instance_status"]
 
 
 def instance_status(front):
-    """Return the state of an instance.
+    """Return the status of an instance.
 
     Parameters
     ----------
@@ -34,19 +34,19 @@
 
 
 def _services(front):
-    """Return open requests and slots by service and region."""
+    """Return requests in flight and slots by service and region."""
     now = front.clock.monotonic()
     services = {}
     for state in front.endpoints:
         regions = services.setdefault(state.entry.service, {})
-        row = regions.setdefault(
+        region = regions.setdefault(
             state.region, {"open": 0, "slots": 0, "leaving": 0, "avoided": []}
         )
-        row["open"] += state.in_flight()
+        region["open"] += state.in_flight()
         if not state.usable():
-            row["leaving"] += 1
+            region["leaving"] += 1
             continue
-        row["slots"] += state.entry.slots
+        region["slots"] += state.entry.slots
         if state.avoided(now):
-            row["avoided"].append(state.name)
+            region["avoided"].append(state.name)
     return services
--- a/quetzalwall/process/tasks.py
+++ b/quetzalwall/process/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run for the life of the process."""
+"""Background tasks that run as long as the process."""
 
 import gevent
 
@@ -6,19 +6,19 @@
 
 __all__ = ["repeat"]
 
-FAILED_PAUSE_S = 0.5  # at least, after a round that failed
+FAILURE_DELAY_S = 0.5  # additional pause after a round that failed
 LOG = get_logger("tasks")
 
 
 def repeat(step, pause_s):
-    """Start a task that runs a step again and again.
+    """Start a task that calls a function repeatedly.
 
     Parameters
     ----------
     step : callable
         One round; an exception that it raises is logged and does not end the task.
     pause_s : float or callable returning float
-        Seconds between two rounds; 0 lets other tasks run.
+        Seconds between two rounds; 0 only lets other tasks run.
 
     Returns
     -------
@@ -34,5 +34,5 @@
         except Exception as exc:
             name = getattr(step, "__qualname__", str(step))
             log_event(LOG, "failed", "error", task=name, **describe_failure(exc))
-            gevent.sleep(FAILED_PAUSE_S)
+            gevent.sleep(FAILURE_DELAY_S)
         gevent.sleep(pause_s() if callable(pause_s) else pause_s)
--- a/quetzalwall/process/tests/test_memory.py
+++ b/quetzalwall/process/tests/test_connection_memory.py
@@ -46,8 +46,8 @@
     try:
         settings = {"memory_mb": MEMORY_MB, "connections": DESCRIPTORS}
         with running_daemon(settings) as run:
-            wait_for(run.started, START_TIMEOUT_S)
-            socks = open_callers(run.callers, CALLERS)
+            wait_for(run.has_started, START_TIMEOUT_S)
+            socks = open_callers(run.callers_address, CALLERS)
             try:
                 assert len(socks) > CALLERS / 10
                 assert resident_bytes(run.process.pid) < MEMORY_MB * MB
--- a/quetzalwall/process/tests/test_process.py
+++ b/quetzalwall/process/tests/test_daemon_process.py
@@ -26,7 +26,8 @@
             file.write(SIGNALLING_LIBRARY.format(folder=folder, library=library))
         with running_daemon(PYTHONPATH=folder) as run:
             wait_for(
-                lambda: run.started() or run.process.poll() is not None, START_TIMEOUT_S
+                lambda: run.has_started() or run.process.poll() is not None,
+                START_TIMEOUT_S,
             )
             gevent.sleep(0.1)
             assert run.process.poll() is None
--- a/quetzalwall/process/tests/test_descriptors.py
+++ b/quetzalwall/process/tests/test_descriptor_limits.py
@@ -11,7 +11,7 @@
 import gevent
 import gevent.socket
 
-from quetzalwall.process.resource_budget import FILE_DESCRIPTORS, most_connections
+from quetzalwall.process.resource_budget import RESERVED_DESCRIPTORS, max_connections
 from quetzalwall.tests.daemon_fixture import START_TIMEOUT_S, running_daemon
 from quetzalwall.tests.platform_fixtures import (
     Site,
@@ -82,24 +82,27 @@
         run = stack.enter_context(
             running_daemon(settings | {"store": f"{host}:{port}"})
         )
-        wait_for(run.started, START_TIMEOUT_S)
+        wait_for(run.has_started, START_TIMEOUT_S)
         until = time.monotonic() + BUSY_S
-        callers = most_connections(MEMORY_MB, DESCRIPTORS, "callers")
-        tasks = [gevent.spawn(keep_asking, run.callers, until) for _ in range(callers)]
+        callers = max_connections(MEMORY_MB, DESCRIPTORS, "callers")
+        tasks = [
+            gevent.spawn(keep_asking, run.callers_address, until)
+            for _ in range(callers)
+        ]
         most = 0
         while time.monotonic() < until:
             gevent.sleep(0.02)
             most = max(most, sockets(run.process.pid))
         gevent.joinall(tasks)
     assert most > callers
-    assert most <= DESCRIPTORS - FILE_DESCRIPTORS
+    assert most <= DESCRIPTORS - RESERVED_DESCRIPTORS
 
 
 # Beside it: a request at work without a descriptor for its endpoint was tried in vain
 # and held against the endpoints; what can't be served is refused at once.
 def test_what_finds_no_connection_left_is_refused_at_once():
     with running_site(work_s=1.0) as site, ExitStack() as stack:
-        front = start_front(stack, site, 1, connections=FILE_DESCRIPTORS + 20)
+        front = start_front(stack, site, 1, connections=RESERVED_DESCRIPTORS + 20)
         wait_for(front.cluster_state.ready)
         place = front.settings.address, site.ports[0]
         most = front.endpoints.connections.max_open
--- a/quetzalwall/process/tests/test_spoiled_answers.py
+++ b/quetzalwall/process/tests/test_invalid_responses.py
@@ -2,7 +2,7 @@
 
 from nose2.tools import params
 
-from quetzalwall.process.tests.test_cut_answers import Cutter, told
+from quetzalwall.process.tests.test_truncated_responses import Cutter, told
 from quetzalwall.tests.platform_fixtures import running_site
 
 NAME, STAMP = "X-Quetzalwall-Request-Id", "X-Quetzalwall-Server-Stamp"
--- a/quetzalwall/process/tests/test_listeners.py
+++ b/quetzalwall/process/tests/test_listeners.py
@@ -7,12 +7,12 @@
 from quetzalwall.exceptions import ListenError
 from quetzalwall.process import listeners
 from quetzalwall.process.resource_budget import (
+    BASE_MEMORY_MB,
     CONNECTION_BYTES,
-    FILE_DESCRIPTORS,
-    MEMORY_PARTS,
-    OWN_MB,
-    create_held_bytes,
-    most_connections,
+    MEMORY_FRACTIONS,
+    RESERVED_DESCRIPTORS,
+    create_memory_budget,
+    max_connections,
 )
 from quetzalwall.tests.platform_fixtures import (
     call,
@@ -56,7 +56,7 @@
 
 
 def test_a_listener_that_stays_closed_is_named():
-    limit_s, listeners.LIMIT_S = listeners.LIMIT_S, 0.6
+    limit_s, listeners.OPEN_TIMEOUT_S = listeners.OPEN_TIMEOUT_S, 0.6
     try:
         with running_site() as site, ExitStack() as stack:
             place = (own_address(1), site.ports[CALLERS])
@@ -66,7 +66,7 @@
     except ListenError as exc:
         assert "callers" in exc.message and f"{place[0]}:{place[1]}" in exc.message
     finally:
-        listeners.LIMIT_S = limit_s
+        listeners.OPEN_TIMEOUT_S = limit_s
 
 
 # The descriptors of the settings were checked and not used: any machine took 4,000.
@@ -111,7 +111,7 @@
 
 def start_crowded(stack, site):
     """Start an instance that may have two callers; return it and where it listens."""
-    front = start_front(stack, site, 1, connections=FILE_DESCRIPTORS + 4)
+    front = start_front(stack, site, 1, connections=RESERVED_DESCRIPTORS + 4)
     wait_for(front.cluster_state.ready)
     return front, (front.settings.address, site.ports[CALLERS])
 
@@ -121,12 +121,12 @@
 def test_all_that_callers_may_make_an_instance_hold_fits_the_machine(memory_mb):
     for descriptors in (700, 4100, 12_300, 100_000):
         connections = sum(
-            most_connections(memory_mb, descriptors, name) for name in MEMORY_PARTS
+            max_connections(memory_mb, descriptors, name) for name in MEMORY_FRACTIONS
         )
-        bodies = create_held_bytes(memory_mb).capacity
+        bodies = create_memory_budget(memory_mb).capacity
         taken_mb = (connections * CONNECTION_BYTES + 2 * bodies) / 1_000_000
-        assert OWN_MB + taken_mb <= memory_mb
+        assert BASE_MEMORY_MB + taken_mb <= memory_mb
 
 
 def test_an_instance_on_a_machine_with_hardly_any_memory_takes_some_callers():
-    assert all(most_connections(48.0, 4100, name) >= 16 for name in MEMORY_PARTS)
+    assert all(max_connections(48.0, 4100, name) >= 16 for name in MEMORY_FRACTIONS)
--- a/quetzalwall/process/tests/test_look_ups_at_scale.py
+++ b/quetzalwall/process/tests/test_lookup_at_scale.py
@@ -8,7 +8,7 @@
 
 from quetzalwall.platform.settings import Bounds
 from quetzalwall.process.cluster.peer_report import PeerInfo
-from quetzalwall.process.front_interfaces import _lookup
+from quetzalwall.process.front_interfaces import _look_up_host
 
 NEAR = 100  # instances of the caller's region, of about 300
 MOST_ADDRESSES = 64  # that an answer may hold
@@ -19,7 +19,7 @@
 def front_of(cards):
     return SimpleNamespace(
         fleet=SimpleNamespace(live=lambda: cards),
-        metrics=SimpleNamespace(looked_up=lambda: None),
+        metrics=SimpleNamespace(record_lookup=lambda: None),
         rng=random.Random(7),
         settings=SimpleNamespace(
             listen=SimpleNamespace(callers=("10.0.0.1", 8144)), bounds=Bounds()
@@ -29,7 +29,7 @@
 
 def look_up(front):
     query = urlencode({"name": "x.example", "region": "north", "zone": "north-a"})
-    body = _lookup(front, {"QUERY_STRING": query}, lambda status, headers: None)
+    body = _look_up_host(front, {"QUERY_STRING": query}, lambda status, headers: None)
     return json.loads(body[0])["addresses"]
 
 
--- a/quetzalwall/process/tests/test_held_bytes.py
+++ b/quetzalwall/process/tests/test_memory_budget.py
@@ -6,8 +6,8 @@
 
 
 def hold_at_most(front, capacity):
-    front.held.capacity = capacity
-    front.held.max_response_bytes = capacity // 4
+    front.memory_budget.capacity = capacity
+    front.memory_budget.max_response_bytes = capacity // 4
 
 
 # What arrived was bounded by a constant for each request, not by the machine's memory.
@@ -18,7 +18,7 @@
         assert status == 503 and float(headers["Retry-After"]) > 0
         assert not site.endpoints[0].arrivals
         assert site.get("/book/2", method="POST", body=b"x" * 200_000)[0] == 200
-        wait_for(lambda: site.fronts[0].held.used_bytes == 0)
+        wait_for(lambda: site.fronts[0].memory_budget.used_bytes == 0)
 
 
 def test_an_answer_longer_than_its_part_of_the_memory_is_not_passed_on():
@@ -31,7 +31,7 @@
             endpoint.behaviour["longer"] = 100_000
         status, _, body = site.get("/look/2")
         assert status == 200 and len(body) > 100_000
-        wait_for(lambda: site.fronts[0].held.used_bytes == 0)
+        wait_for(lambda: site.fronts[0].memory_budget.used_bytes == 0)
 
 
 def test_bytes_count_as_held_until_the_caller_has_them_or_leaves():
@@ -42,8 +42,8 @@
         with socket.create_connection(place) as sock:
             head = f"GET /look/1 HTTP/1.1\r\nHost: {HOST}\r\n"
             sock.sendall(f"{head}X-Quetzalwall-Request-Id: a\r\n\r\n".encode())
-            wait_for(lambda: front.held.used_bytes > 8 * MB)
-        wait_for(lambda: front.held.used_bytes == 0)
+            wait_for(lambda: front.memory_budget.used_bytes > 8 * MB)
+        wait_for(lambda: front.memory_budget.used_bytes == 0)
 
 
 def test_the_bytes_held_are_told_by_the_metrics():
--- a/quetzalwall/process/tests/test_product.py
+++ b/quetzalwall/process/tests/test_product_interface.py
@@ -100,7 +100,7 @@
             endpoint.behaviour["shed"] = True
         reply = deployment.send("east-1", "POST", "/bookings", key="shed-1")
         assert (reply.status, reply.outcome) == (503, "not-run")
-        assert deployment.runs("shed-1") == 0
+        assert deployment.run_count("shed-1") == 0
 
 
 def test_booking_runs_once_however_often_it_is_sent():
@@ -112,10 +112,10 @@
 
         tasks = [gevent.spawn(book, number) for number in range(10)]
         gevent.joinall(tasks, raise_error=True)
-        assert deployment.runs("b1") == 1
+        assert deployment.run_count("b1") == 1
         assert {task.value.status for task in tasks} <= {200, 409}
         deployment.wait(lambda: book(1).res.get("X-Quetzalwall-Repeated"))
-        assert deployment.runs("b1") == 1
+        assert deployment.run_count("b1") == 1
 
 
 def test_key_of_another_request_is_refused():
@@ -123,7 +123,7 @@
         deployment.send("east-1", "POST", "/bookings/1", key="b5")
         reply = deployment.send("east-1", "POST", "/bookings/2", key="b5")
         assert (reply.status, reply.outcome) == (422, "not-run")
-        assert deployment.runs("b5") == 1
+        assert deployment.run_count("b5") == 1
 
 
 def test_booking_with_a_lost_reply_of_the_store_runs_once():
@@ -131,7 +131,7 @@
         deployment.store.set_faults(lose_replies=2)
         reply = deployment.send("east-1", "POST", "/bookings", key="b2")
         assert reply.outcome in ("answered", "not-run")
-        assert deployment.runs("b2") == (reply.outcome == "answered")
+        assert deployment.run_count("b2") == (reply.outcome == "answered")
 
 
 def test_booking_is_refused_truthfully_while_the_store_is_down():
@@ -141,14 +141,14 @@
         assert (reply.status, reply.outcome) == (503, "not-run")
         assert reply.res.get("X-Quetzalwall-Step") == "claim"
         assert deployment.send("east-1", "GET", "/status/1").status == 200
-        assert deployment.runs("b3") == 0
+        assert deployment.run_count("b3") == 0
         deployment.store.set_faults(down=False)
         deployment.wait(
             lambda: (
                 deployment.send("east-1", "POST", "/bookings", key="b3").status == 200
             )
         )
-        assert deployment.runs("b3") == 1
+        assert deployment.run_count("b3") == 1
 
 
 def test_lost_answer_of_a_booking_is_told_as_unknown():
@@ -157,10 +157,10 @@
             endpoint.behaviour["fault"] = "wrong-id"
         reply = deployment.send("east-1", "POST", "/bookings", key="b4")
         assert (reply.status, reply.outcome) == (504, "unknown")
-        assert deployment.runs("b4") == 1
+        assert deployment.run_count("b4") == 1
         repeat = deployment.send("east-1", "POST", "/bookings", key="b4")
         assert (repeat.status, repeat.outcome) == (409, "unknown")
-        assert deployment.runs("b4") == 1
+        assert deployment.run_count("b4") == 1
 
 
 def test_malformed_requests_get_clear_refusals():
--- a/quetzalwall/streams.py
+++ b/quetzalwall/streams.py
@@ -1,26 +1,27 @@
-"""Standard streams of a process that was started with some of them closed.
+"""Replacement of standard streams that were closed when the process started.
 
-This module is imported before any library.
+This module is imported before any library, so it uses only the standard library.
 """
 
 import os
 
 __all__ = ["open_standard_streams"]
 
-HIGHEST = 2  # descriptor of standard error
+STDERR_FD = 2  # the highest descriptor of a standard stream
 
 
 def open_standard_streams():
-    """Open what discards everything in the place of each closed standard stream.
+    """Open the null device in place of each closed standard stream.
 
-    The next sockets would take these places otherwise, and be sent lines of the log.
+    Otherwise the next sockets would get these descriptors, and log lines would be
+    written to them.
     """
     try:
-        number = os.open(os.devnull, os.O_RDWR)
-        while number <= HIGHEST:
-            os.set_inheritable(number, True)
-            # The lowest descriptor that is free is taken each time.
-            number = os.open(os.devnull, os.O_RDWR)
-        os.close(number)
+        fd = os.open(os.devnull, os.O_RDWR)
+        while fd <= STDERR_FD:
+            os.set_inheritable(fd, True)
+            # Each call opens the lowest free descriptor.
+            fd = os.open(os.devnull, os.O_RDWR)
+        os.close(fd)
     except OSError:
-        return  # neither a device nor a descriptor is left; others will say so
+        return  # no null device or no free descriptor; a later step reports it
--- a/quetzalwall/tests/daemon_fixture.py
+++ b/quetzalwall/tests/daemon_fixture.py
@@ -21,7 +21,7 @@
 
     def __init__(self, process, output, callers):
         self.process = process
-        self.callers = callers
+        self.callers_address = callers
         self._output = output
 
     def read_output(self):
@@ -29,7 +29,7 @@
         self._output.seek(0)
         return self._output.read()
 
-    def started(self):
+    def has_started(self):
         return "event=started" in self.read_output()
 
 
--- a/quetzalwall/tests/platform_fixtures.py
+++ b/quetzalwall/tests/platform_fixtures.py
@@ -21,7 +21,7 @@
 
 HOST = "shop.example"
 DOMAINS = {"north-a": "north", "north-b": "north", "south-a": "south"}
-WAIT_S = 5.0
+WAIT_TIMEOUT_S = 5.0
 
 
 class ManualClock:
@@ -45,7 +45,7 @@
     """
 
     def __init__(self):
-        self.held_s = 0.0
+        self.loop_lag_s = 0.0
         self.began = self.most = resident_bytes()
         self._task = gevent.spawn(self._run)
         gevent.sleep(0.05)
@@ -54,13 +54,13 @@
         while True:
             used = time.process_time()
             gevent.sleep(0.01)
-            self.held_s = max(self.held_s, time.process_time() - used)
+            self.loop_lag_s = max(self.loop_lag_s, time.process_time() - used)
             self.most = max(self.most, resident_bytes())
 
     def stop(self):
         gevent.sleep(0.02)
         self._task.kill()
-        return self.held_s, self.most - self.began
+        return self.loop_lag_s, self.most - self.began
 
 
 def config_body(version=1, routes=None, services=("desk",)):
@@ -191,7 +191,7 @@
         client.close()
 
 
-def wait_for(condition, limit_s=WAIT_S):
+def wait_for(condition, limit_s=WAIT_TIMEOUT_S):
     """Wait until a condition holds; fail if it does not in time."""
     with gevent.Timeout(limit_s, AssertionError(f"not in {limit_s} s")):
         while not condition():
--- a/quetzalwall/tests/product_fixtures.py
+++ b/quetzalwall/tests/product_fixtures.py
@@ -37,7 +37,7 @@
     {"prefix": "/photos", "class": "photo", "idempotent": True},
     {"prefix": "/bookings", "class": "booking", "idempotent": False},
 ]
-PORTS = ("callers", "health", "peers", "lookup", "metrics")
+LISTENERS = ("callers", "health", "peers", "lookup", "metrics")
 
 
 def make_tree(regions=("east", "west"), endpoints=2, slots=4):
@@ -111,7 +111,7 @@
         self.store = store
         self.endpoints = endpoints
         self.tree = tree
-        self.ports = dict(zip((*PORTS, "datagrams"), free_ports(6), strict=True))
+        self.ports = dict(zip((*LISTENERS, "datagrams"), free_ports(6), strict=True))
         self.fronts = {}
         names = [(r, n) for r in regions for n in range(instances)]
         self.addresses = {
@@ -129,7 +129,7 @@
             "region": region,
             "domain": f"{region}-{'ab'[(int(number) - 1) % 2]}",
             "domains": {},
-            "listen": {part: f"{address}:{self.ports[part]}" for part in PORTS},
+            "listen": {part: f"{address}:{self.ports[part]}" for part in LISTENERS},
             "peer_ports": [self.ports["datagrams"]] * 2,
             "seeds": [
                 f"{other}:{self.ports['peers']}" for other in self.addresses.values()
@@ -190,7 +190,7 @@
         headers = {"Authorization": f"Bearer {credential}"}
         return self.call(name, "PUT", "/settings", body, headers)
 
-    def runs(self, key):
+    def run_count(self, key):
         return sum(e.runs.get(key, 0) for e in self.endpoints.values())
 
 
--- a/quetzalwall/tests/test_daemon_output.py
+++ b/quetzalwall/tests/test_daemon_output.py
@@ -29,7 +29,7 @@
 
 def answers(run):
     try:
-        return call(*run.callers, "/look/1")[0] == 503
+        return call(*run.callers_address, "/look/1")[0] == 503
     except OSError:
         return False
 
@@ -41,7 +41,7 @@
         with running_daemon(streams=[writer for _, writer in ends]) as run:
             wait_for(lambda: answers(run), START_TIMEOUT_S)
             for _ in range(REQUESTS):
-                assert b"400" in send(run.callers)
+                assert b"400" in send(run.callers_address)
             assert answers(run)
     finally:
         for end in ends:
