--- a/quetzalwall/process/tests/test_caller_disconnects.py
+++ b/quetzalwall/process/tests/test_caller_disconnects.py
@@ -6,7 +6,7 @@
 from quetzalwall.tests.platform_fixtures import HOST, running_site, wait_for
 
 
-def test_a_caller_that_leaves_stops_the_work():
+def test_the_work_is_cancelled_when_its_caller_disconnects():
     with running_site(endpoints=1) as site:
         endpoint = site.endpoints[0]
         endpoint.behaviour["slow_s"] = 1.5
@@ -20,15 +20,15 @@
         wait_for(lambda: endpoint.cancelled == 1, 0.5)
 
 
-# GONE: requests that had waited unread until their callers left were sent on.
+# GONE: requests that were still unread when their callers left were forwarded.
 @params("GET", "POST")
-def test_a_request_whose_caller_left_before_it_was_read_is_not_sent_on(method):
+def test_a_request_whose_caller_left_before_it_was_read_is_not_forwarded(method):
     with running_site(endpoints=1) as site:
         path = "/look/1" if method == "GET" else "/book/1"
-        assert site.get(path, method=method)[0] == 200  # leaves a connection to use
-        place = (site.fronts[0].settings.address, site.ports[0])
-        # Nothing here lets the instance, which runs in this process, read meanwhile.
-        with socket.create_connection(place) as sock:
+        assert site.get(path, method=method)[0] == 200  # leaves an idle connection
+        address = (site.fronts[0].settings.address, site.ports[0])
+        # A blocking socket: the instance, in the same process, can't read meanwhile.
+        with socket.create_connection(address) as sock:
             head = f"{method} {path} HTTP/1.1\r\nHost: {HOST}\r\n"
             sock.sendall(f"{head}X-Quetzalwall-Request-Id: b\r\n\r\n".encode())
         gevent.sleep(0.3)
--- a/quetzalwall/process/tests/test_configuration_delay.py
+++ b/quetzalwall/process/tests/test_configuration_delay.py
@@ -1,4 +1,4 @@
-"""How late an accepted configuration is in force around trouble with the store."""
+"""Delay until an accepted configuration is active, around faults of the store."""
 
 import time
 from contextlib import ExitStack, contextmanager
@@ -15,13 +15,13 @@
 )
 from soak.proxy import create_proxy
 
-CONFIG_S = 2.5  # from the store's answer to the operator
-STABLE_S = 4.0  # from the end of trouble, after which the bound holds again
-CHANGE_S = 0.4
+MAX_DELAY_S = 2.5  # from the store's response to the operator
+STABLE_S = 4.0  # from the end of a fault until the bound holds again
+CHANGE_PERIOD_S = 0.4
 INSTANCES = 3
 
 
-class Watched:
+class MonitoredSite:
     """Instances that each reach the store through a proxy of their own.
 
     Parameters
@@ -30,23 +30,30 @@
         The store.
     fronts, proxies : list
         The instances, and the proxy of each.
+
+    Attributes
+    ----------
+    accepted : dict of int to float
+        Moment at which the store accepted each version.
+    activated : list of dict of int to float
+        By instance, the moment at which each version became active.
     """
 
     def __init__(self, store_site, fronts, proxies):
         self.fronts = fronts
         self.proxies = proxies
         self.accepted = {}
-        self.in_force = [{} for _ in fronts]
+        self.activated = [{} for _ in fronts]
         self.store_site = store_site
-        for front, seen in zip(fronts, self.in_force, strict=True):
-            self._watch(front.cluster_state, seen)
+        for front, times in zip(fronts, self.activated, strict=True):
+            self._record_activations(front.cluster_state, times)
 
-    def _watch(self, cluster_state, seen):
-        def note(cfg, before=cluster_state.on_configuration):
-            seen[cfg.version] = time.monotonic()
-            before(cfg)
+    def _record_activations(self, cluster_state, times):
+        def record(cfg, original=cluster_state.on_configuration):
+            times[cfg.version] = time.monotonic()
+            original(cfg)
 
-        cluster_state.on_configuration = note
+        cluster_state.on_configuration = record
 
     def change(self):
         version = len(self.accepted) + 2
@@ -57,31 +64,32 @@
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.change()
-            gevent.sleep(CHANGE_S)
+            gevent.sleep(CHANGE_PERIOD_S)
 
-    def late(self, trouble=None, whom=None):
-        """Return by how much each version was late, where it was.
+    def late_versions(self, fault_end=None, numbers=None):
+        """Return instance, version and lateness of each version that was late.
 
-        With ``trouble``, its end, no instance is in touch before that and `STABLE_S`.
+        The bound does not hold until `STABLE_S` after ``fault_end``. ``numbers`` are
+        the instances to check; all of them if None.
         """
-        whom = range(len(self.fronts)) if whom is None else whom
-        gevent.sleep(CONFIG_S)
-        found = []
-        for number in whom:
-            times = self.in_force[number].items()
-            for version, at in self.accepted.items():
-                due = at + CONFIG_S
-                if trouble is not None:
-                    due = max(due, trouble + STABLE_S)
-                there = min((t for v, t in times if v >= version), default=None)
-                if there is None or there > due:
-                    late = "never" if there is None else f"{there - due:.2f} s"
-                    found.append((number, version, late))
-        return found
+        numbers = range(len(self.fronts)) if numbers is None else numbers
+        gevent.sleep(MAX_DELAY_S)
+        late = []
+        for number in numbers:
+            times = self.activated[number].items()
+            for version, accepted_at in self.accepted.items():
+                due = accepted_at + MAX_DELAY_S
+                if fault_end is not None:
+                    due = max(due, fault_end + STABLE_S)
+                active_at = min((t for v, t in times if v >= version), default=None)
+                if active_at is None or active_at > due:
+                    by = "never" if active_at is None else f"{active_at - due:.2f} s"
+                    late.append((number, version, by))
+        return late
 
 
 @contextmanager
-def watched(count=INSTANCES):
+def monitored_site(count=INSTANCES):
     with ExitStack() as stack:
         site = stack.enter_context(running_site(fronts=0))
         fronts, proxies = [], []
@@ -89,32 +97,32 @@
             proxy = create_proxy(site.store.server.address, own_address(number))
             proxy.start()
             stack.callback(proxy.close)
-            place = f"{proxy.place[0]}:{proxy.place[1]}"
-            fronts.append(start_front(stack, site, number, store=place))
+            address = f"{proxy.place[0]}:{proxy.place[1]}"
+            fronts.append(start_front(stack, site, number, store=address))
             proxies.append(proxy)
         for front in fronts:
             wait_for(front.cluster_state.ready)
         wait_for(lambda: all(len(f.fleet.live()) == count for f in fronts))
-        yield Watched(site, fronts, proxies)
+        yield MonitoredSite(site, fronts, proxies)
 
 
-# CONFIG, issue 23: all instances waited for answers on connections that had fallen
-# silent, on one after the other, for twice as long as until they count as in touch.
-def test_a_change_is_in_force_though_open_connections_fell_silent():
-    with watched() as site:
+# CONFIG, issue 23: all instances waited for responses on connections that had become
+# unresponsive, on one after the other, for twice as long as `STABLE_S`.
+def test_a_change_is_active_in_time_though_open_connections_became_unresponsive():
+    with monitored_site() as site:
         site.change()
         gevent.sleep(0.05)  # between two calls of each instance
         for proxy in site.proxies:
             proxy.silence()
-        trouble = time.monotonic()
+        fault_end = time.monotonic()
         site.change_for(STABLE_S)
-        assert not site.late(trouble)
+        assert not site.late_versions(fault_end)
 
 
-# CONFIG, issue 23: what was asked while the store was silent was never answered, and
-# nobody asked again before an instance counted as in touch.
-def test_a_change_is_in_force_after_the_store_was_silent():
-    with watched() as site:
+# CONFIG, issue 23: requests sent while the store was unresponsive never got a response,
+# and no instance sent them again before the bound held again.
+def test_a_change_is_active_in_time_after_the_store_was_unresponsive():
+    with monitored_site() as site:
         site.change()
         gevent.sleep(0.05)
         for proxy in site.proxies:
@@ -123,26 +131,26 @@
         for proxy in site.proxies:
             proxy.silence()
             proxy.fault = ""
-        trouble = time.monotonic()
+        fault_end = time.monotonic()
         site.change_for(STABLE_S)
-        assert not site.late(trouble)
+        assert not site.late_versions(fault_end)
 
 
-# CONFIG, issue 23: an instance that was cut off from the store did not ask those that
-# knew of the change before its own call had failed.
-def test_a_change_is_in_force_where_only_the_others_reach_the_store():
-    with watched() as site:
+# CONFIG, issue 23: an instance that was cut off from the store did not ask the others,
+# which knew of the change, until its own call had failed.
+def test_a_change_is_active_in_time_where_only_other_instances_reach_the_store():
+    with monitored_site() as site:
         site.change()
         gevent.sleep(0.5)
         site.proxies[0].fault = "silent"
-        site.change_for(CONFIG_S)
-        assert not site.late(whom=[0])
+        site.change_for(MAX_DELAY_S)
+        assert not site.late_versions(numbers=[0])
 
 
-# CONFIG, issue 23: instances that leave it to others of their region to read the store
-# took it for granted that these had an answer.
-def test_a_change_is_in_force_where_those_that_read_for_others_hear_nothing():
-    with watched(9) as site:
+# CONFIG, issue 23: instances that rely on others of their region to read the store
+# assumed that these got responses.
+def test_a_change_is_active_in_time_where_the_reading_instances_are_cut_off():
+    with monitored_site(9) as site:
         gevent.sleep(4.5)  # by now only those that read for others ask the store
         site.change()
         site.store_site.register(site.store_site.endpoints[0], seq=2)
@@ -151,5 +159,5 @@
         assert len(readers) < len(site.fronts)
         for number in readers:
             site.proxies[number].silence()
-        site.change_for(CONFIG_S)
-        assert not site.late(whom=set(range(9)) - set(readers))
+        site.change_for(MAX_DELAY_S)
+        assert not site.late_versions(numbers=set(range(9)) - set(readers))
--- a/quetzalwall/process/tests/test_connection_memory.py
+++ b/quetzalwall/process/tests/test_connection_memory.py
@@ -1,4 +1,4 @@
-"""The daemon's memory, by what callers do, on a machine with many descriptors."""
+"""The daemon's memory with many callers, on a machine with many descriptors."""
 
 import resource
 
@@ -11,13 +11,13 @@
 MEMORY_MB = 90.0
 DESCRIPTORS = 12_000
 CALLERS = 3000
-ANSWERED_S = 2.0
+CONNECT_TIMEOUT_S = 2.0
 MB = 1_000_000
 REQUEST = f"GET /none HTTP/1.1\r\nHost: {HOST}\r\nX-Quetzalwall-Request-Id: a\r\n\r\n"
 
 
-def answered(sock):
-    """Return whether a request on a connection is answered."""
+def gets_response(sock):
+    """Return whether a request on a connection gets a response."""
     try:
         sock.sendall(REQUEST.encode())
         return bool(sock.recv(4096))
@@ -25,22 +25,24 @@
         return False
 
 
-def open_callers(place, count):
+def open_callers(address, count):
     """Open connections, each with one request, until one is not served."""
     socks = []
     for _ in range(count):
         try:
-            socks.append(gevent.socket.create_connection(place, timeout=ANSWERED_S))
+            socks.append(
+                gevent.socket.create_connection(address, timeout=CONNECT_TIMEOUT_S)
+            )
         except OSError:
             break
-        if not answered(socks[-1]):
+        if not gets_response(socks[-1]):
             break
     return socks
 
 
-# "Its processes ended by themselves", report 2: connections were bounded by descriptors
-# alone, so that a machine with many of them for its memory was killed.
-def test_connections_that_callers_keep_fit_the_memory_of_the_machine():
+# "Its processes ended by themselves", report 2: connections were limited by descriptors
+# alone, so that the process was killed on a machine with little memory for them.
+def test_open_connections_of_callers_fit_the_memory_of_the_machine():
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, DESCRIPTORS), hard))
     try:
--- a/quetzalwall/process/tests/test_daemon_process.py
+++ b/quetzalwall/process/tests/test_daemon_process.py
@@ -1,4 +1,4 @@
-"""The daemon as a process of its own, from its first moment."""
+"""The daemon as a separate process, from its first moment."""
 
 import tempfile
 
@@ -8,7 +8,7 @@
 from quetzalwall.tests.daemon_fixture import START_TIMEOUT_S, running_daemon
 from quetzalwall.tests.platform_fixtures import wait_for
 
-# Stands in for a library: signals its own process, then loads the real one.
+# Replaces a library: signals its own process, then loads the real one.
 SIGNALLING_LIBRARY = """
 import importlib, os, signal, sys
 os.kill(os.getpid(), signal.SIGHUP)
@@ -18,9 +18,9 @@
 """
 
 
-# SIGHUP at a moment at which a restarted instance had no handler yet ended it.
+# An instance that got SIGHUP during its start, before it had a handler, was ended.
 @params("gevent", "jsonschema", "xxhash")
-def test_a_changed_settings_file_does_not_end_an_instance_that_starts(library):
+def test_sighup_does_not_end_an_instance_that_starts(library):
     with tempfile.TemporaryDirectory() as folder:
         with open(f"{folder}/{library}.py", "w") as file:
             file.write(SIGNALLING_LIBRARY.format(folder=folder, library=library))
@@ -33,12 +33,12 @@
             assert run.process.poll() is None
 
 
-def test_a_missing_library_is_one_clear_line():
+def test_a_missing_library_is_reported_in_one_line():
     with tempfile.TemporaryDirectory() as folder:
         with open(f"{folder}/msgspec.py", "w") as file:
             file.write("raise ImportError('No module named msgspec._core')\n")
         with running_daemon(PYTHONPATH=folder) as run:
             assert run.process.wait(START_TIMEOUT_S) == 1
-            said = run.read_output()
-    assert said.startswith("quetzalwall: a library is missing or does not work")
-    assert said.count("\n") == 1 and "msgspec" in said
+            output = run.read_output()
+    assert output.startswith("quetzalwall: a library is missing or does not work")
+    assert output.count("\n") == 1 and "msgspec" in output
--- a/quetzalwall/process/tests/test_descriptor_limits.py
+++ b/quetzalwall/process/tests/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""The daemon's sockets, with all places of its listeners taken."""
+"""The daemon's sockets while its listeners have all the connections they may have."""
 
 import os
 import resource
@@ -30,14 +30,14 @@
 SLOTS = 6
 WORK_S = 0.2
 BUSY_S = 3.0
-PLAN = """
+PRINT_USABLE = """
 from quetzalwall.process.resource_budget import usable_descriptors
 print(usable_descriptors(4096), usable_descriptors(250))
 """
 
 
-def site_of(stack):
-    """Return a store that names endpoints, all of them running."""
+def start_site(stack):
+    """Return a site with a store and running endpoints, without instances."""
     store = create_metadata_store()
     store.start()
     stack.callback(store.close)
@@ -53,30 +53,30 @@
     return site
 
 
-def sockets(process):
+def count_sockets(pid):
     """Return the number of sockets that a process has open."""
     count = 0
-    for number in os.listdir(f"/proc/{process}/fd"):
+    for fd in os.listdir(f"/proc/{pid}/fd"):
         try:
-            count += os.readlink(f"/proc/{process}/fd/{number}").startswith("socket")
+            count += os.readlink(f"/proc/{pid}/fd/{fd}").startswith("socket")
         except OSError:
             continue  # closed meanwhile
     return count
 
 
-def keep_asking(place, until):
+def send_repeatedly(address, until):
     while time.monotonic() < until:
         try:
-            call(*place, "/look/1")
+            call(*address, "/look/1")
         except OSError:
             gevent.sleep(WORK_S)
 
 
-# Found by class with report 3: listeners may take 75 % of the descriptors, and each
-# request at work has a second one, so that together they are more than there are.
+# Same kind of fault as report 3: listeners may use 75 % of the descriptors, and each
+# request in flight uses a second one, so that the sum exceeded the limit.
 def test_callers_and_connections_to_endpoints_fit_the_descriptors_together():
     with ExitStack() as stack:
-        site = site_of(stack)
+        site = start_site(stack)
         host, port = site.store.server.address[:2]
         settings = {"memory_mb": MEMORY_MB, "connections": DESCRIPTORS}
         run = stack.enter_context(
@@ -86,40 +86,41 @@
         until = time.monotonic() + BUSY_S
         callers = max_connections(MEMORY_MB, DESCRIPTORS, "callers")
         tasks = [
-            gevent.spawn(keep_asking, run.callers_address, until)
+            gevent.spawn(send_repeatedly, run.callers_address, until)
             for _ in range(callers)
         ]
-        most = 0
+        peak = 0
         while time.monotonic() < until:
             gevent.sleep(0.02)
-            most = max(most, sockets(run.process.pid))
+            peak = max(peak, count_sockets(run.process.pid))
         gevent.joinall(tasks)
-    assert most > callers
-    assert most <= DESCRIPTORS - RESERVED_DESCRIPTORS
+    assert peak > callers
+    assert peak <= DESCRIPTORS - RESERVED_DESCRIPTORS
 
 
-# Beside it: a request at work without a descriptor for its endpoint was tried in vain
-# and held against the endpoints; what can't be served is refused at once.
-def test_what_finds_no_connection_left_is_refused_at_once():
+# Related: a request that found no free descriptor for its endpoint was retried in vain
+# and counted as a failure of the endpoints. It has to be rejected at once.
+def test_a_request_without_a_free_connection_is_rejected_at_once():
     with running_site(work_s=1.0) as site, ExitStack() as stack:
         front = start_front(stack, site, 1, connections=RESERVED_DESCRIPTORS + 20)
         wait_for(front.cluster_state.ready)
-        place = front.settings.address, site.ports[0]
-        most = front.endpoints.connections.max_open
-        at_work = [gevent.spawn(call, *place, f"/look/{n}") for n in range(most)]
-        wait_for(lambda: front.endpoints.connections.open_count == most)
-        began = time.monotonic()
-        status = call(*place, "/look/9")[0]
-        assert status == 503 and time.monotonic() - began < 0.5
-        assert not any(state.avoided(began) for state in front.endpoints)
-        assert [task.get(timeout=5.0)[0] for task in at_work] == [200] * most
-        assert call(*place, "/look/9")[0] == 200
-
-
-# The settings' default is 4,096 descriptors, where a process may have 1,024 or less.
-def test_the_plan_is_for_the_descriptors_that_the_system_gives():
+        address = front.settings.address, site.ports[0]
+        max_open = front.endpoints.connections.max_open
+        running = [gevent.spawn(call, *address, f"/look/{n}") for n in range(max_open)]
+        wait_for(lambda: front.endpoints.connections.open_count == max_open)
+        start = time.monotonic()
+        status = call(*address, "/look/9")[0]
+        assert status == 503 and time.monotonic() - start < 0.5
+        assert not any(state.avoided(start) for state in front.endpoints)
+        assert [task.get(timeout=5.0)[0] for task in running] == [200] * max_open
+        assert call(*address, "/look/9")[0] == 200
+
+
+# The settings default to 4,096 descriptors, but a process may be limited to 1,024 or
+# fewer.
+def test_usable_descriptors_are_capped_by_the_limit_of_the_system():
     former = resource.getrlimit(resource.RLIMIT_NOFILE)
-    limit = partial(resource.setrlimit, resource.RLIMIT_NOFILE, (300, former[1]))
-    command = [sys.executable, "-c", PLAN]
-    done = subprocess.run(command, preexec_fn=limit, capture_output=True, text=True)
+    set_limit = partial(resource.setrlimit, resource.RLIMIT_NOFILE, (300, former[1]))
+    command = [sys.executable, "-c", PRINT_USABLE]
+    done = subprocess.run(command, preexec_fn=set_limit, capture_output=True, text=True)
     assert done.stdout.split() == ["300", "250"]
--- a/quetzalwall/process/tests/test_endless_requests.py
+++ b/quetzalwall/process/tests/test_endless_requests.py
@@ -1,4 +1,4 @@
-"""Callers that send without end, from another process."""
+"""Callers in another process that send requests without end."""
 
 import subprocess
 import sys
@@ -8,12 +8,12 @@
 
 from quetzalwall.tests.platform_fixtures import HOST, LoopMonitor, running_site
 
-HELD_S = 0.25  # longest time for which the event loop may be held
-MOST_BYTES = 20_000_000
+MAX_BLOCKED_S = 0.25  # longest time for which the event loop may be blocked
+MAX_GROWTH_BYTES = 20_000_000
 SENDING_S = 1.5
 HEAD = f"POST /book/1 HTTP/1.1\r\nHost: {HOST}\r\nX-Quetzalwall-Request-Id: a\r\n"
 CHUNKED = HEAD + "Transfer-Encoding: chunked\r\n\r\n"
-# First what comes once, then what is sent again and again.
+# Text that is sent once, and text that is then sent repeatedly.
 ENDLESS = {
     "header lines": (HEAD, "a: b\r\n"),
     "one header line": (HEAD + "a: ", "b"),
@@ -38,21 +38,22 @@
 """
 
 
-# The same on the callers' side as in answers: input that is always ready never yields.
+# As with endless responses: reading input that is always ready never yields to the
+# event loop.
 @params(*ENDLESS)
-def test_an_endless_request_costs_neither_the_event_loop_nor_the_memory(pattern):
+def test_an_endless_request_neither_blocks_the_event_loop_nor_fills_memory(pattern):
     with running_site(endpoints=1) as site:
-        place = (site.fronts[0].settings.address, str(site.ports[0]))
-        texts = [part.encode().hex() for part in ENDLESS[pattern]]
-        beat = LoopMonitor()
-        sender = subprocess.Popen([sys.executable, "-c", SENDER, *place, *texts])
+        address = (site.fronts[0].settings.address, str(site.ports[0]))
+        texts = [text.encode().hex() for text in ENDLESS[pattern]]
+        monitor = LoopMonitor()
+        sender = subprocess.Popen([sys.executable, "-c", SENDER, *address, *texts])
         try:
             gevent.sleep(SENDING_S)
         finally:
             sender.kill()
             sender.wait()
-        held_s, grown = beat.stop()
+        blocked_s, growth = monitor.stop()
         assert site.get("/look/1")[0] == 200
         assert all(state.own_in_flight == 0 for state in site.fronts[0].endpoints)
-    assert held_s < HELD_S, held_s
-    assert grown < MOST_BYTES
+    assert blocked_s < MAX_BLOCKED_S, blocked_s
+    assert growth < MAX_GROWTH_BYTES
--- a/quetzalwall/process/tests/test_front.py
+++ b/quetzalwall/process/tests/test_front.py
@@ -27,27 +27,29 @@
     return status, msgspec.json.decode(body)
 
 
-def test_a_request_passes_and_its_answer_comes_back_unchanged():
+def test_a_request_is_forwarded_and_its_response_passed_back_unchanged():
     with running_site() as site:
         status, headers, body = site.get("/look/1?a=%20b")
         assert status == 200
-        request_id = site.endpoints[0].arrivals + site.endpoints[1].arrivals
-        sent_id, sent = request_id[0]
-        assert headers["X-Quetzalwall-Server-Stamp"] == f"stamp-of-{sent_id}"
-        assert headers["X-Quetzalwall-Request-Id"] == sent_id
-        assert body.split()[1].decode() == sent_id
-        assert 0 < int(sent["x-quetzalwall-deadline-ms"]) <= 2000
-        assert sent["host"] == HOST
+        arrivals = site.endpoints[0].arrivals + site.endpoints[1].arrivals
+        request_id, forwarded = arrivals[0]
+        assert headers["X-Quetzalwall-Server-Stamp"] == f"stamp-of-{request_id}"
+        assert headers["X-Quetzalwall-Request-Id"] == request_id
+        assert body.split()[1].decode() == request_id
+        assert 0 < int(forwarded["x-quetzalwall-deadline-ms"]) <= 2000
+        assert forwarded["host"] == HOST
 
 
-def test_what_is_left_of_the_deadline_is_passed_on():
+def test_the_remaining_time_until_the_deadline_is_forwarded():
     with running_site(endpoints=1) as site:
         site.get("/look/1", **{DEADLINE: "700"})
-        left_ms = int(site.endpoints[0].arrivals[0][1]["x-quetzalwall-deadline-ms"])
-        assert 500 < left_ms <= 700
+        remaining_ms = int(
+            site.endpoints[0].arrivals[0][1]["x-quetzalwall-deadline-ms"]
+        )
+        assert 500 < remaining_ms <= 700
 
 
-def test_no_route_is_told_from_no_configuration():
+def test_a_missing_route_and_a_missing_configuration_differ_in_status():
     with running_site() as site:
         assert site.get("/none/1")[0] == 404
         site.fronts[0].cluster_state._cfg = None
@@ -55,20 +57,20 @@
         assert status == 503 and 0 < float(headers["Retry-After"]) <= 1
 
 
-def test_a_new_configuration_is_in_force_soon_and_an_old_one_never_again():
+def test_a_new_configuration_is_active_soon_and_an_old_one_never_again():
     with running_site(fronts=2) as site:
         rows = [route_row("new", "/new/")]
         site.write_config(config_body(2, rows))
-        began = time.monotonic()
+        start = time.monotonic()
         wait_for(lambda: all(site.get("/new/1", n)[0] == 200 for n in (0, 1)))
-        assert time.monotonic() - began < 2.5
+        assert time.monotonic() - start < 2.5
         site.write_config(config_body(1))
         gevent.sleep(0.6)
         assert site.get("/new/1")[0] == 200
         assert site.get("/look/1")[0] == 404
 
 
-def test_a_leaving_endpoint_gets_no_new_work():
+def test_a_draining_endpoint_gets_no_new_requests():
     with running_site() as site:
         site.register(site.endpoints[0], state="draining")
         front = site.fronts[0]
@@ -80,7 +82,7 @@
 
 
 @params("lose", "cut", "hang")
-def test_a_request_that_is_not_idempotent_runs_once_whatever_happens(fault):
+def test_a_request_that_is_not_idempotent_runs_once_despite_faults(fault):
     with running_site() as site:
         for endpoint in site.endpoints:
             endpoint.behaviour[fault] = True
@@ -92,25 +94,25 @@
         assert sum(len(endpoint.runs) for endpoint in site.endpoints) == 6
 
 
-def test_an_idempotent_request_is_sent_to_another_endpoint_after_a_lost_answer():
+def test_an_idempotent_request_is_retried_at_another_endpoint_after_a_lost_response():
     with running_site() as site:
         site.endpoints[0].behaviour["lose"] = True
         for _ in range(6):
             assert site.get("/look/1")[0] == 200
 
 
-def test_not_run_is_never_said_of_what_may_have_run():
+def test_not_run_is_never_reported_for_a_request_that_may_have_run():
     with running_site() as site:
         site.endpoints[0].behaviour["lose"] = True
         site.endpoints[1].behaviour["shed"] = True
         for _ in range(8):
             status, _, _ = site.get("/look/1")
-            ran = sum(len(endpoint.runs) for endpoint in site.endpoints)
-            assert status == 502 or not ran, (status, ran)
+            runs = sum(len(endpoint.runs) for endpoint in site.endpoints)
+            assert status == 502 or not runs, (status, runs)
             site.endpoints[0].runs.clear()
 
 
-def test_a_failure_of_an_endpoint_is_passed_on_or_tried_elsewhere():
+def test_a_failure_of_an_endpoint_is_passed_on_or_retried_elsewhere():
     with running_site() as site:
         for endpoint in site.endpoints:
             endpoint.behaviour["error"] = True
@@ -125,7 +127,7 @@
         assert site.get("/look/1")[0] == 500
 
 
-def test_not_run_is_said_only_when_it_is_true():
+def test_not_run_is_reported_only_if_no_endpoint_ran_the_request():
     with running_site() as site:
         for endpoint in site.endpoints:
             endpoint.behaviour["shed"] = True
@@ -145,7 +147,7 @@
         assert len(site.endpoints[0].arrivals) <= 1
 
 
-def test_the_routes_time_ends_the_wait():
+def test_the_time_out_of_the_route_applies_before_a_later_deadline():
     with running_site() as site:
         for endpoint in site.endpoints:
             endpoint.behaviour["hang"] = True
@@ -153,13 +155,13 @@
         site.write_config(config_body(2, rows))
         front = site.fronts[0]
         wait_for(lambda: front.cluster_state.configuration().version == 2)
-        began = time.monotonic()
+        start = time.monotonic()
         status, _, _ = site.get("/look/1", **{DEADLINE: "5000"})
         assert status == 504
-        assert time.monotonic() - began < 0.9
+        assert time.monotonic() - start < 0.9
 
 
-def test_a_planned_stop_cuts_nothing_and_refuses_late_requests():
+def test_a_planned_stop_completes_requests_in_flight_and_rejects_late_ones():
     with running_site(fronts=2) as site:
         first, second = site.fronts
         for endpoint in site.endpoints:
@@ -174,7 +176,7 @@
         _, body = look_up(second, site.ports)
         assert body["addresses"] == [f"{second.settings.address}:{site.ports[0]}"]
         gevent.joinall(running)
-        assert [job.value[0] for job in running] == [200] * 4
+        assert [task.value[0] for task in running] == [200] * 4
         wait_for(lambda: first._grace.accept_limit_s() == 0.0)
         status, headers, _ = site.get("/book/1", method="POST")
         assert status == 503 and headers["Connection"] == "close"
@@ -184,7 +186,7 @@
 def test_a_planned_stop_waits_for_a_long_request():
     with running_site() as site:
         for endpoint in site.endpoints:
-            endpoint.behaviour["slow_s"] = 1.5  # longer than the least stay, 1.4 s
+            endpoint.behaviour["slow_s"] = 1.5  # longer than the shortest stop, 1.4 s
         running = gevent.spawn(site.get, "/book/1", 0, "POST")
         gevent.sleep(0.05)
         site.fronts[0].stop()
@@ -192,7 +194,7 @@
         assert running.value[0] == 200
 
 
-def test_a_silent_instance_leaves_the_look_ups():
+def test_an_unresponsive_instance_is_left_out_of_look_ups():
     with running_site(fronts=2) as site:
         assert len(look_up(site.fronts[0], site.ports)[1]["addresses"]) == 2
         site.fronts[1].fleet.close()
@@ -217,7 +219,7 @@
         assert call(address, site.ports[0], "/look/1")[0] == 200
 
 
-def test_service_goes_on_while_the_store_is_down_and_history_is_lost():
+def test_requests_are_served_while_the_store_is_down_and_after_it_lost_its_history():
     with running_site() as site:
         site.store.set_faults(down=True)
         for _ in range(5):
@@ -227,14 +229,14 @@
         wait_for(lambda: site.get("/new/1")[0] == 200)
 
 
-def test_a_lost_reply_to_the_registration_is_made_good():
+def test_registration_is_retried_after_a_lost_reply():
     with ExitStack() as stack, running_site() as site:
         site.store.set_faults(lose_replies=1, late_s=0.1)
         start_front(stack, site, 1)
         wait_for(lambda: ("instances", "", "front-1") in site.store.rows)
 
 
-def test_settings_that_change_silently_are_read_again():
+def test_a_changed_settings_file_is_read_without_a_signal():
     with running_site() as site:
         front = site.fronts[0]
         file = front._settings_file
@@ -250,7 +252,7 @@
         assert front.settings.bounds.grace_s == 9.0
 
 
-def test_metrics_count_what_happened():
+def test_metrics_count_requests():
     with running_site() as site:
         site.get("/look/1")
         address = site.fronts[0].settings.address
@@ -259,21 +261,21 @@
         assert b"quetzalwall_request_seconds_bucket" in body
 
 
-def test_a_feed_that_goes_silent_is_noticed():
-    silent = create_server("127.0.0.1", 0, lambda *_: gevent.sleep(60))
-    silent.start()
+def test_a_store_connection_that_becomes_unresponsive_is_noticed():
+    unresponsive = create_server("127.0.0.1", 0, lambda *_: gevent.sleep(60))
+    unresponsive.start()
     with running_site() as site:
         watch = site.fronts[0]._watches["op"]
-        client = watch._store._client._http._connection_pool
-        client._connection_host, client._connection_port = silent.address
-        client.close()
-        client._closed = False
+        pool = watch._store._client._http._connection_pool
+        pool._connection_host, pool._connection_port = unresponsive.address
+        pool.close()
+        pool._closed = False
         wait_for(lambda: watch.last_call_failed, 6.0)
         assert site.get("/look/1")[0] == 200
-    silent.stop(timeout=0)
+    unresponsive.stop(timeout=0)
 
 
-def test_a_split_reaches_each_service():
+def test_a_traffic_split_sends_requests_to_each_service_by_weight():
     with running_site() as site:
         entry = entry_body(site.endpoints[1].place, service="spare")
         site.store.put("servers", "ep-1", msgspec.json.encode(entry))
@@ -287,20 +289,20 @@
         for _ in range(40):
             assert site.get("/look/1")[0] == 200
         counts = [
-            len(endpoint.arrivals) - old
-            for endpoint, old in zip(site.endpoints, before, strict=True)
+            len(endpoint.arrivals) - count
+            for endpoint, count in zip(site.endpoints, before, strict=True)
         ]
         assert counts == [30, 10]
 
 
-def test_instances_that_start_at_the_same_moment_hear_each_other():
+def test_instances_that_start_at_the_same_time_find_each_other():
     with running_site(fronts=0) as site, ExitStack() as stack:
         site.store.set_faults(slow_s=0.2)
         fronts = [start_front(stack, site, number) for number in range(2)]
         wait_for(lambda: all(len(front.fleet.live()) == 2 for front in fronts), 3.0)
 
 
-def test_idempotent_requests_at_an_endpoint_that_falls_silent_are_answered_elsewhere():
+def test_idempotent_requests_at_an_unresponsive_endpoint_are_served_by_another():
     with running_site() as site:
         rows = [route_row("look", "/look/", timeout="5s")]
         site.write_config(config_body(2, rows))
@@ -312,15 +314,15 @@
         ]
         gevent.joinall(tasks, raise_error=True)
         assert [task.value[0] for task in tasks] == [200] * 8
-        hung = len(site.endpoints[0].arrivals)
-        assert hung >= 2
-        began = time.monotonic()
+        hanging = len(site.endpoints[0].arrivals)
+        assert hanging >= 2
+        start = time.monotonic()
         assert site.get("/look/9", **{DEADLINE: "5000"})[0] == 200
-        assert time.monotonic() - began < 0.5
-        assert len(site.endpoints[0].arrivals) == hung
+        assert time.monotonic() - start < 0.5
+        assert len(site.endpoints[0].arrivals) == hanging
 
 
-def test_a_request_at_an_endpoint_that_leaves_or_sheds_others_is_not_abandoned():
+def test_a_request_at_an_endpoint_that_is_removed_or_sheds_others_is_not_abandoned():
     with running_site(endpoints=2, work_s=1.0, slots=1, queue=0) as site:
         tasks = [
             gevent.spawn(site.get, f"/look/{n}", **{DEADLINE: "5000"}) for n in range(2)
@@ -334,8 +336,8 @@
         assert runs == [[1], [1]]
 
 
-@params("no other endpoint", "no allowance", "stopping")
-def test_a_request_at_a_silent_endpoint_is_left_there_if_nothing_else_can_take_it(why):
+@params("no other endpoint", "no retry budget", "stopping")
+def test_a_request_stays_at_an_unresponsive_endpoint_if_no_retry_is_possible(why):
     with running_site(endpoints=2, work_s=1.8) as site:
         front = site.fronts[0]
         rows = [route_row("look", "/look/", timeout="5s")]
@@ -345,7 +347,7 @@
             site.endpoints[1].behaviour["shed"] = True
             site.register(site.endpoints[1], state="draining")
             wait_for(lambda: not front.endpoints.get("ep-1").usable())
-        if why == "no allowance":
+        if why == "no retry budget":
             front.limits.retry_budget.allows_retry = lambda *args: False
         front.server._chooser.is_unresponsive = lambda state, now: True
         tasks = [
@@ -359,19 +361,19 @@
         assert sum(len(endpoint.arrivals) for endpoint in site.endpoints) == 3
 
 
-def test_a_planned_stop_answers_what_comes_on_connections_it_has_accepted():
+def test_a_planned_stop_responds_to_late_requests_on_accepted_connections():
     with running_site(fronts=2) as site:
         front = site.fronts[0]
-        place = (front.settings.address, site.ports[0])
-        socks = [gevent.socket.create_connection(place) for _ in range(5)]
+        address = (front.settings.address, site.ports[0])
+        socks = [gevent.socket.create_connection(address) for _ in range(5)]
         gevent.sleep(0.1)
-        stopped = gevent.spawn(front.stop)
-        # The last look before the end: the servers' connections are not yet closed.
-        leave_s = 0.7 * front.settings.bounds.grace_s
-        gevent.sleep(leave_s + 0.04)
+        stop = gevent.spawn(front.stop)
+        # The final accept rounds: the connections are not closed yet.
+        min_stop_s = 0.7 * front.settings.bounds.grace_s
+        gevent.sleep(min_stop_s + 0.04)
         for sock in socks:
             sock.sendall(b"GET /look/1 HTTP/1.1\r\nHost: shop.example\r\n\r\n")
-        answers = [sock.recv(4096).split(b" ")[1] for sock in socks]
-        assert answers == [b"503"] * 5
-        stopped.join(3.0)
-        assert stopped.ready()
+        statuses = [sock.recv(4096).split(b" ")[1] for sock in socks]
+        assert statuses == [b"503"] * 5
+        stop.join(3.0)
+        assert stop.ready()
--- a/quetzalwall/process/tests/test_golden_sessions.py
+++ b/quetzalwall/process/tests/test_golden_sessions.py
@@ -1,6 +1,6 @@
-"""Golden files of whole sessions: what callers see, and the decisions behind it.
+"""Golden files of sessions: what callers see, and the logged decisions behind it.
 
-``UPDATE_GOLDEN=1`` writes the files anew; a change to one is reviewed like code.
+``UPDATE_GOLDEN=1`` rewrites the files; a change to one is reviewed like code.
 """
 
 import io
@@ -15,7 +15,7 @@
 from quetzalwall.tests.product_fixtures import read_row, small_deployment
 
 FOLDER = Path(__file__).parent / "golden"
-PARTS = ("request", "front", "operators")
+COMPONENTS = ("request", "front", "operators")
 FRONT_EVENTS = ("lookup",)
 VOLATILE = (
     (re.compile(r"^time=\S+ "), ""),
@@ -30,7 +30,7 @@
 
 
 class Session:
-    """Text of one session."""
+    """Transcript of one session: ``>`` sent, ``<`` received, ``|`` logged."""
 
     def __init__(self, deployment, name="east-1"):
         self.deployment = deployment
@@ -46,41 +46,41 @@
             if reply.res.get(header):
                 self.lines.append(f"< {header}: {reply.res.get(header)}")
         self.lines.append(f"< {reply.body.decode()}")
-        self.take_log()
+        self.append_log()
 
     def call(self, method, target):
         self.lines.append(f"> {method} {target}")
-        answer = self.deployment.call(self.name, method, target)
-        self.note_answer(answer)
+        response = self.deployment.call(self.name, method, target)
+        self.append_response(response)
 
     def put(self, change, base):
         self.lines.append(f"> PUT /settings team=desk base={base}")
-        self.note_answer(self.deployment.put(self.name, change, base))
+        self.append_response(self.deployment.put(self.name, change, base))
 
-    def note_answer(self, answer):
-        self.lines.append(f"< {answer.status}")
-        self.lines.append(f"< {json.dumps(answer.body, sort_keys=True)}")
-        self.take_log()
+    def append_response(self, response):
+        self.lines.append(f"< {response.status}")
+        self.lines.append(f"< {json.dumps(response.body, sort_keys=True)}")
+        self.append_log()
 
-    def say(self, text):
+    def comment(self, text):
         self.lines.append(f"# {text}")
 
-    def take_log(self):
+    def append_log(self):
         gevent.sleep(0.02)
         for line in self.log.getvalue().splitlines():
-            if any(f" part={part} " in line for part in PARTS) and _is_decision(line):
+            if any(f" part={c} " in line for c in COMPONENTS) and _is_decision(line):
                 self.lines.append(f"| {line}")
         self.log.truncate(0)
         self.log.seek(0)
 
     def text(self):
-        found = []
+        stable = []
         for line in self.lines:
             mark, rest = line[:2], line[2:]
-            for pattern, by in VOLATILE:
-                rest = pattern.sub(by, rest)
-            found.append(mark + rest)
-        return "\n".join(found) + "\n"
+            for pattern, replacement in VOLATILE:
+                rest = pattern.sub(replacement, rest)
+            stable.append(mark + rest)
+        return "\n".join(stable) + "\n"
 
 
 def _is_decision(line):
@@ -118,22 +118,22 @@
 
 @golden
 def test_booking_with_lost_reply(session):
-    session.say("the store loses the reply to the claim")
+    session.comment("the store loses its reply to the claim")
     session.deployment.store.set_faults(lose_replies=1)
     session.send("POST", "/bookings", key="k1")
-    session.deployment.wait(lambda: _row(session, "k1")["state"] == "done")
-    session.say("a repeat gets the recorded answer")
+    session.deployment.wait(lambda: _claim(session, "k1")["state"] == "done")
+    session.comment("a repeated request gets the recorded response")
     session.send("POST", "/bookings", key="k1")
-    session.say("the store is down")
+    session.comment("the store is down")
     session.deployment.store.set_faults(down=True)
     session.send("POST", "/bookings", key="k2")
     runs = {}
     for endpoint in session.deployment.endpoints.values():
         runs.update(endpoint.runs)
-    session.say(f"runs: {runs}")
+    session.comment(f"runs: {runs}")
 
 
-def _row(session, key):
+def _claim(session, key):
     row = read_row(session.deployment.store, "claims", f"claim/desk/{key}")
     return row or {"state": ""}
 
@@ -146,7 +146,7 @@
     session.send("GET", "/status/1")
     session.put(leave, base=1)
     session.deployment.wait_for_version(2)
-    session.say("the only endpoints leave")
+    session.comment("the only endpoints are drained")
     session.send("GET", "/status/2")
 
 
@@ -182,7 +182,7 @@
     front = session.deployment.fronts["east-1"]
     front.limits.shifts.adjust = lambda: None
     front.limits.shifts.progress("move").fraction = 1.0
-    session.say("two requests go to west, then the cap of the interval is reached")
+    session.comment("two requests go to west, then the cap of the interval is reached")
     for number in range(4):
         session.send("GET", f"/status/{number}")
 
@@ -191,6 +191,6 @@
 def test_shed(session):
     for state in session.deployment.fronts["east-1"].endpoints:
         state.own_in_flight = 20
-    session.say("all endpoints are full, and more requests wait there than may")
+    session.comment("all endpoints are full and their queues exceed the limit")
     session.send("GET", "/promotion/1")
     session.send("GET", "/status/1")
--- a/quetzalwall/process/tests/test_no_name_resolution.py
+++ b/quetzalwall/process/tests/test_no_name_resolution.py
@@ -1,4 +1,4 @@
-"""An instance is given IP numbers: it needs no name service and no native thread."""
+"""An instance gets only IP numbers: it needs no name service and no native thread."""
 
 import os
 from contextlib import ExitStack, contextmanager
@@ -12,57 +12,58 @@
     wait_for,
 )
 
-SLOW_S = 2.0  # a name server that does not answer takes 10 s and more
-PROMPT_S = 1.5
+RESOLVE_S = 2.0  # an unresponsive name server takes 10 s and more
+START_S = 1.5
 
 
 class SlowResolver:
-    """Name service that answers late, and notes what it is asked."""
+    """Resolver that responds late and records its queries."""
 
     def __init__(self, resolver):
-        self.asked = []
+        self.queries = []
         self._resolver = resolver
 
     def close(self):
         self._resolver.close()
 
     def __getattr__(self, name):
-        def ask(*args, **options):
-            self.asked.append((name, *args))
-            gevent.sleep(SLOW_S)
+        def resolve(*args, **options):
+            self.queries.append((name, *args))
+            gevent.sleep(RESOLVE_S)
             return getattr(self._resolver, name)(*args, **options)
 
-        return ask
+        return resolve
 
 
 @contextmanager
-def slow_names():
+def slow_name_service():
     hub = gevent.get_hub()
     former = hub.resolver
-    hub.resolver = slow = SlowResolver(former)
+    hub.resolver = resolver = SlowResolver(former)
     try:
-        yield slow
+        yield resolver
     finally:
         hub.resolver = former
 
 
-# "The system did not start", report 3: each listener asked the name service for the
-# name of its own address before it accepted anything, one after the other.
+# "The system did not start", report 3: each listener, one after the other, looked up
+# the name of its own address before it accepted connections.
 def test_a_start_does_not_wait_for_a_name_service():
     with ExitStack() as stack:
         site = stack.enter_context(running_site(fronts=0))
-        slow = stack.enter_context(slow_names())
+        resolver = stack.enter_context(slow_name_service())
         start = gevent.spawn(start_front, stack, site, 0)
         stack.callback(start.kill)
-        start.join(timeout=PROMPT_S)
-        assert slow.asked == []
+        start.join(timeout=START_S)
+        assert resolver.queries == []
         assert start.ready()
-        wait_for(start.value.cluster_state.ready, PROMPT_S)
-        assert slow.asked == []
+        wait_for(start.value.cluster_state.ready, START_S)
+        assert resolver.queries == []
 
 
-# Report 3: names were looked up in native threads, for the store as well; where none
-# can be had the process ended at its start, and with several cores they take turns.
+# Report 3: names were resolved in native threads, also for the store. Where no thread
+# can be created the process ended at its start, and on several cores the threads have
+# to take turns.
 def test_a_daemon_runs_in_one_thread():
     with running_daemon() as run:
         wait_for(run.has_started, START_TIMEOUT_S)
--- a/quetzalwall/process/tests/test_planned_stop.py
+++ b/quetzalwall/process/tests/test_planned_stop.py
@@ -14,14 +14,16 @@
 )
 
 DEADLINE = "X_Quetzalwall_Deadline_Ms"
-KNOWN_AFTER = {"GET": 20, "POST": 100}  # answers; what is unsafe needs more
-SLOTS = 140  # none of them waits
+# Responses after which the duration of a route's requests counts as known; requests
+# that are not idempotent need more.
+KNOWN_AFTER = {"GET": 20, "POST": 100}
+SLOTS = 140  # enough for all requests without queueing
 AT_ONCE_S = 0.3
 LOOK, BOOK = ("GET", "/look/1"), ("POST", "/book/1")
 
 
 def put_routes(site, slo="500ms"):
-    """Have routes whose time is far over the grace of 2 s."""
+    """Configure routes whose time-out far exceeds the grace period of 2 s."""
     rows = [
         route_row("look", "/look/", timeout="8s"),
         route_row("book", "/book/", "unsafe", timeout="8s"),
@@ -38,7 +40,7 @@
 
 
 def learn(site, method, target, work_s, count=None):
-    """Have the instance learn how long a route's requests take."""
+    """Let the instance learn how long the requests of a route take."""
     for endpoint in site.endpoints:
         endpoint.behaviour["slow_s"] = work_s
     count = count or KNOWN_AFTER[method]
@@ -47,19 +49,19 @@
     assert [task.value[0] for task in tasks] == [200] * count
 
 
-def stop_soon(site, after_s):
-    """Begin a planned stop, and come back some time into it."""
-    stopping = gevent.spawn(site.fronts[0].stop)
+def begin_stop(site, after_s):
+    """Begin a planned stop and return its task after some seconds."""
+    stop = gevent.spawn(site.fronts[0].stop)
     gevent.sleep(after_s)
-    return stopping
+    return stop
 
 
-def arrivals(site):
+def count_arrivals(site):
     return sum(len(endpoint.arrivals) for endpoint in site.endpoints)
 
 
 def connect(site):
-    """Return a connection that has been used for a quick request."""
+    """Return a connection on which a quick request has been served."""
     sock = gevent.socket.create_connection(
         (site.fronts[0].settings.address, site.ports[0])
     )
@@ -73,15 +75,16 @@
     sock.sendall(f"{lines}X-Quetzalwall-Request-Id: {request_id}\r\n\r\n".encode())
 
 
-def assert_refused(status, headers, body):
+def assert_rejected(status, headers, body):
     assert status == 503 and b"stopping" in body, (status, body)
     assert 0 < float(headers["Retry-After"]) < 1
 
 
-# A request at work when the grace ended got the library's 500, and no line in the log.
-def test_a_request_at_work_at_the_end_of_the_grace_ends_as_unknown():
-    lines = logbook.TestHandler()
-    with running_site(endpoints=1) as site, lines.applicationbound():
+# A request in flight at the end of the grace period got the HTTP library's 500, and no
+# log line.
+def test_a_request_in_flight_at_the_end_of_the_grace_period_ends_as_unknown():
+    handler = logbook.TestHandler()
+    with running_site(endpoints=1) as site, handler.applicationbound():
         front = site.fronts[0]
         rows = [route_row("book", "/book/", "unsafe", timeout="8s")]
         site.write_config(config_body(2, rows))
@@ -92,212 +95,218 @@
         front.stop()
         status, _, body = running.get(timeout=2.0)
         assert status == 504 and b"the instance stopped" in body
-        ended = [r.message for r in lines.records if "event=finished" in r.message]
-        assert "outcome=unknown status=504" in ended[-1]
+        finished = [r.message for r in handler.records if "event=finished" in r.message]
+        assert "outcome=unknown status=504" in finished[-1]
 
 
-# LOST: a request whose work could not end in the grace was taken late, and cut.
+# LOST: a late request that could not be completed in the grace period was accepted, and
+# cut off at its end.
 @params(LOOK, BOOK)
-def test_a_late_request_whose_work_does_not_fit_into_the_grace_is_refused(
+def test_a_late_request_that_does_not_fit_into_the_grace_period_is_rejected(
     method, target
 ):
     with running_site(endpoints=1, slots=SLOTS) as site:
         put_routes(site)
         learn(site, method, target, 1.4)
-        before = arrivals(site)
-        stopping = stop_soon(site, 0.6)
-        began = time.monotonic()
-        assert_refused(*site.get(target, 0, method))
-        assert time.monotonic() - began < AT_ONCE_S
-        assert arrivals(site) == before
-        stopping.join()
+        before = count_arrivals(site)
+        stop = begin_stop(site, 0.6)
+        start = time.monotonic()
+        assert_rejected(*site.get(target, 0, method))
+        assert time.monotonic() - start < AT_ONCE_S
+        assert count_arrivals(site) == before
+        stop.join()
 
 
-# LOST: the same on a connection that the caller has kept.
-def test_a_late_request_on_a_kept_connection_is_refused_and_the_connection_closed():
+# LOST: the same on a connection that the caller had kept open.
+def test_a_late_request_on_an_open_connection_is_rejected_and_the_connection_closed():
     with running_site(endpoints=1, slots=SLOTS) as site:
         put_routes(site)
         sock = connect(site)
         learn(site, *BOOK, 1.4)
-        before = arrivals(site)
-        stopping = stop_soon(site, 0.6)
+        before = count_arrivals(site)
+        stop = begin_stop(site, 0.6)
         send(sock, *BOOK)
-        answer = sock.recv(4096)
-        assert answer.startswith(b"HTTP/1.1 503") and b"stopping" in answer, answer
-        assert b"Connection: close" in answer and b"Retry-After: " in answer
+        response = sock.recv(4096)
+        assert response.startswith(b"HTTP/1.1 503") and b"stopping" in response, (
+            response
+        )
+        assert b"Connection: close" in response and b"Retry-After: " in response
         assert sock.recv(4096) == b""
-        assert arrivals(site) == before
-        stopping.join()
+        assert count_arrivals(site) == before
+        stop.join()
 
 
-# LOST: a route of which nothing was known counted as quick as its target.
+# LOST: a route without any measured durations was assumed to be as quick as its target.
 @params(LOOK, BOOK)
-def test_a_late_request_of_unknown_duration_is_taken_only_with_care(method, target):
+def test_a_late_request_of_unknown_duration_is_rejected(method, target):
     with running_site(endpoints=1) as site:
         put_routes(site, slo="1s")
         site.endpoints[0].behaviour["slow_s"] = 1.7
-        before = arrivals(site)
-        stopping = stop_soon(site, 0.5)
-        assert_refused(*site.get(target, 0, method))
-        assert arrivals(site) == before
-        stopping.join()
+        before = count_arrivals(site)
+        stop = begin_stop(site, 0.5)
+        assert_rejected(*site.get(target, 0, method))
+        assert count_arrivals(site) == before
+        stop.join()
 
 
-# LOST: few answers tell nothing of the few requests whose work is many times as long.
-def test_a_late_request_that_runs_once_needs_more_answers_to_be_known_as_quick():
+# LOST: a few responses do not show the rare requests that take many times as long.
+def test_a_late_request_that_is_not_idempotent_needs_more_samples_to_count_as_quick():
     with running_site(endpoints=1, slots=SLOTS) as site:
         put_routes(site)
         learn(site, *BOOK, 0.1, 20)
         learn(site, *LOOK, 0.1, 20)
         site.endpoints[0].behaviour["slow_s"] = 1.7
-        before = arrivals(site)
-        stopping = stop_soon(site, 0.5)
-        assert_refused(*site.get("/book/1", 0, "POST"))
-        assert arrivals(site) == before
+        before = count_arrivals(site)
+        stop = begin_stop(site, 0.5)
+        assert_rejected(*site.get("/book/1", 0, "POST"))
+        assert count_arrivals(site) == before
         site.endpoints[0].behaviour["slow_s"] = 0.1
         assert site.get("/look/1")[0] == 200
-        stopping.join()
+        stop.join()
 
 
-# Callers that learn late that it leaves: what is sure to end in time is served.
+# Some callers learn late that the instance is stopping: requests that are certain to
+# end in time are served.
 @params(LOOK, BOOK)
-def test_a_late_request_whose_deadline_is_in_the_grace_is_served(method, target):
+def test_a_late_request_whose_deadline_is_in_the_grace_period_is_served(method, target):
     with running_site(endpoints=1) as site:
         put_routes(site)
         site.endpoints[0].behaviour["slow_s"] = 0.4
-        stopping = stop_soon(site, 0.4)
+        stop = begin_stop(site, 0.4)
         status, headers, _ = site.get(target, 0, method, **{DEADLINE: "1000"})
         assert (status, headers["Connection"]) == (200, "close")
-        stopping.join()
+        stop.join()
 
 
-# Callers that learn late that it leaves: what is known to be quick is served, and its
-# endpoint gets no more time than the instance has.
-def test_a_late_request_that_is_known_to_be_quick_is_served_in_the_time_left():
+# Some callers learn late that the instance is stopping: requests known to be quick are
+# served, and the endpoint gets no more time than the instance has.
+def test_a_late_request_known_to_be_quick_is_served_in_the_remaining_time():
     with running_site(endpoints=1, slots=SLOTS) as site:
         put_routes(site)
         sock = connect(site)
         learn(site, *BOOK, 0.2)
-        stopping = stop_soon(site, 0.5)
+        stop = begin_stop(site, 0.5)
         assert site.get("/book/2", 0, "POST")[0] == 200
         send(sock, *BOOK)
-        answer = sock.recv(4096)
-        assert answer.startswith(b"HTTP/1.1 200") and b"Connection: close" in answer
+        response = sock.recv(4096)
+        assert response.startswith(b"HTTP/1.1 200") and b"Connection: close" in response
         for _, headers in site.endpoints[0].arrivals[-2:]:
             assert int(headers["x-quetzalwall-deadline-ms"]) < 1500
-        stopping.join()
+        stop.join()
 
 
-# LOST: a request whose body was still coming at SIGTERM was sent at any later time.
-def test_a_request_that_was_being_read_at_the_stop_is_refused_if_it_does_not_fit():
+# LOST: a request whose body was still arriving at SIGTERM was forwarded however late.
+def test_a_request_that_was_being_read_at_the_stop_is_rejected_if_it_does_not_fit():
     with running_site(endpoints=1, slots=SLOTS) as site:
         put_routes(site)
         learn(site, *BOOK, 1.4)
-        before = arrivals(site)
+        before = count_arrivals(site)
         sock = gevent.socket.create_connection(
             (site.fronts[0].settings.address, site.ports[0])
         )
         head = f"POST /book/1 HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: 4\r\n\r\nab"
         sock.sendall(head.encode())
         gevent.sleep(0.05)
-        stopping = stop_soon(site, 0.6)
+        stop = begin_stop(site, 0.6)
         sock.sendall(b"cd")
-        answer = sock.recv(4096)
-        assert answer.startswith(b"HTTP/1.1 503") and b"stopping" in answer, answer
-        assert arrivals(site) == before
-        stopping.join()
+        response = sock.recv(4096)
+        assert response.startswith(b"HTTP/1.1 503") and b"stopping" in response, (
+            response
+        )
+        assert count_arrivals(site) == before
+        stop.join()
 
 
-# LOST: a request that waited for a connection at SIGTERM was sent at any later time.
+# LOST: a request that was waiting for a connection at SIGTERM was sent however late.
 def test_a_request_that_waited_for_a_connection_is_not_sent_if_it_does_not_fit():
     with running_site(endpoints=1, slots=SLOTS) as site:
         put_routes(site)
         learn(site, *BOOK, 1.4)
-        before = arrivals(site)
+        before = count_arrivals(site)
         client = site.fronts[0].endpoints.get("ep-0").client
         client.close()
-        take = client.acquire
+        acquire = client.acquire
 
-        def take_slowly(idempotent, request_id):
+        def acquire_slowly(idempotent, request_id):
             gevent.sleep(0.6)
-            return take(idempotent, request_id)
+            return acquire(idempotent, request_id)
 
-        client.acquire = take_slowly
+        client.acquire = acquire_slowly
         running = gevent.spawn(site.get, "/book/1", 0, "POST")
         gevent.sleep(0.05)
-        stopping = stop_soon(site, 0.0)
-        assert_refused(*running.get(timeout=1.5))
-        assert arrivals(site) == before
-        stopping.join()
+        stop = begin_stop(site, 0.0)
+        assert_rejected(*running.get(timeout=1.5))
+        assert count_arrivals(site) == before
+        stop.join()
 
 
-# LOST: the doubt about a wait for a slot was counted in favour of taking.
-def test_a_late_request_behind_others_at_a_full_endpoint_is_refused():
+# LOST: the uncertainty of a queueing delay counted in favour of accepting a request.
+def test_a_late_request_behind_others_at_a_full_endpoint_is_rejected():
     with running_site(endpoints=1, slots=20, queue=60) as site:
         put_routes(site, slo="5s")
         for _ in range(5):
             learn(site, *BOOK, 0.7, 16)
         learn(site, *BOOK, 0.7, 20)
-        before = arrivals(site)
+        before = count_arrivals(site)
         ahead = [gevent.spawn(site.get, "/book/2", 0, "POST") for _ in range(40)]
-        wait_for(lambda: arrivals(site) == before + 40)
-        stopping = stop_soon(site, 0.4)
-        before = arrivals(site)
-        assert_refused(*site.get("/book/1", 0, "POST"))
-        assert arrivals(site) == before
+        wait_for(lambda: count_arrivals(site) == before + 40)
+        stop = begin_stop(site, 0.4)
+        before = count_arrivals(site)
+        assert_rejected(*site.get("/book/1", 0, "POST"))
+        assert count_arrivals(site) == before
         gevent.joinall(ahead, raise_error=True)
         assert [task.value[0] for task in ahead] == [200] * 40
-        stopping.join()
+        stop.join()
 
 
-# LOST: the second attempt of a request at work was begun at any time, and cut.
-def test_a_retry_that_does_not_fit_into_the_grace_is_not_begun():
+# LOST: a retry of a request in flight was begun however late, and cut off.
+def test_a_retry_that_does_not_fit_into_the_grace_period_is_not_begun():
     with running_site(endpoints=2, slots=SLOTS) as site:
         put_routes(site)
         learn(site, *LOOK, 1.0)
-        before = arrivals(site)
+        before = count_arrivals(site)
         for endpoint in site.endpoints:
             endpoint.behaviour["lose"] = True
         running = gevent.spawn(site.get, "/look/1")
         gevent.sleep(0.05)
-        began = time.monotonic()
-        stopping = stop_soon(site, 0.0)
+        start = time.monotonic()
+        stop = begin_stop(site, 0.0)
         assert running.get(timeout=3.0)[0] == 502
-        assert time.monotonic() - began < 1.3
-        assert arrivals(site) == before + 1
-        stopping.join()
+        assert time.monotonic() - start < 1.3
+        assert count_arrivals(site) == before + 1
+        stop.join()
 
 
-# LOST: the same for a request that may not be repeated, shed by its first endpoint.
-def test_a_late_retry_of_what_has_not_run_is_left_to_the_caller():
+# LOST: the same for a request that is not idempotent, shed by its first endpoint.
+def test_a_late_retry_of_a_request_that_has_not_run_is_left_to_the_caller():
     with running_site(endpoints=2, slots=SLOTS) as site:
         put_routes(site)
         learn(site, *BOOK, 1.0)
-        before = arrivals(site)
+        before = count_arrivals(site)
         for endpoint in site.endpoints:
             endpoint.behaviour["shed_after_s"] = 1.0
         running = gevent.spawn(site.get, "/book/1", 0, "POST")
         gevent.sleep(0.05)
-        stopping = stop_soon(site, 0.0)
-        assert_refused(*running.get(timeout=3.0))
-        assert arrivals(site) == before + 1
-        stopping.join()
+        stop = begin_stop(site, 0.0)
+        assert_rejected(*running.get(timeout=3.0))
+        assert count_arrivals(site) == before + 1
+        stop.join()
 
 
-# LOST: an answer that its caller read slowly was cut when the last work had ended.
-def test_an_answer_under_way_to_its_caller_is_not_cut_by_the_stop():
+# LOST: a response that its caller read slowly was truncated once no endpoint had work.
+def test_a_response_on_its_way_to_the_caller_is_not_truncated_by_the_stop():
     with running_site(endpoints=1) as site:
         site.endpoints[0].behaviour["longer"] = size = 8_000_000
         sock = gevent.socket.socket()
         sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_RCVBUF, 65536)
         sock.connect((site.fronts[0].settings.address, site.ports[0]))
         send(sock, *LOOK)
-        began = sock.recv(1024)
-        assert began.startswith(b"HTTP/1.1 200")
-        stopping = stop_soon(site, 1.6)  # longer than its least stay, 1.4 s
-        got = len(began)
+        first = sock.recv(1024)
+        assert first.startswith(b"HTTP/1.1 200")
+        stop = begin_stop(site, 1.6)  # longer than the shortest stop, 1.4 s
+        received = len(first)
         with gevent.Timeout(2.0):
             while data := sock.recv(65536):
-                got += len(data)
-        assert got >= size
-        stopping.join()
+                received += len(data)
+        assert received >= size
+        stop.join()
--- a/quetzalwall/process/tests/test_product_interface.py
+++ b/quetzalwall/process/tests/test_product_interface.py
@@ -1,4 +1,4 @@
-"""Whole instances behind the product's own interface, against stand-ins, in trouble."""
+"""Instances with the product's interface, under faults of endpoints and the store."""
 
 import json
 
@@ -9,7 +9,7 @@
 from quetzalwall.tests.product_fixtures import read_row, small_deployment
 
 
-def leave(*names):
+def drain(*names):
     def change(subtree):
         subtree["leaving"] = {"endpoints": list(names)}
 
@@ -23,17 +23,17 @@
     return change
 
 
-def test_lookup_names_near_instances_and_may_be_cached():
+def test_lookup_returns_instances_of_the_region_first_and_may_be_cached():
     with small_deployment(instances=2) as deployment:
-        answer = deployment.call("east-1", "GET", "/lookup?service=desk&caller=c")
-        names = [item["name"] for item in answer.body["instances"]]
+        response = deployment.call("east-1", "GET", "/lookup?service=desk&caller=c")
+        names = [item["name"] for item in response.body["instances"]]
         assert {name.split("-")[0] for name in names[:2]} == {"east"}
         assert len(names) == 3
-        assert answer.body["ttl_s"] == 0.2
+        assert response.body["ttl_s"] == 0.2
         assert deployment.call("east-1", "GET", "/lookup?service=no").status == 404
 
 
-def test_answers_reach_their_own_callers_whole():
+def test_each_caller_gets_the_complete_response_to_its_own_request():
     with small_deployment(names=["east-1"], slots=40) as deployment:
         tasks = [
             gevent.spawn(deployment.send, "east-1", "GET", f"/status/{n}")
@@ -47,7 +47,7 @@
             assert len(reply.body) == 30 * 65536
 
 
-def test_uploads_of_both_framings_arrive_whole():
+def test_uploads_of_both_framings_arrive_completely():
     block = b"u" * 65536
     with small_deployment(names=["east-1"]) as deployment:
         for length in (40 * len(block), None):
@@ -57,7 +57,7 @@
             assert json.loads(reply.body)["bytes"] == 40 * len(block)
 
 
-def test_cut_answer_is_signalled_to_the_caller():
+def test_truncated_response_is_reported_to_the_caller():
     with small_deployment(names=["east-1"]) as deployment:
         for endpoint in deployment.endpoints.values():
             endpoint.behaviour["fault"] = "cut"
@@ -66,7 +66,7 @@
             assert (reply.status, reply.outcome) == (502, "unknown")
 
 
-def test_upload_that_the_caller_cuts_does_not_run():
+def test_upload_that_the_caller_aborts_does_not_run():
     with small_deployment(names=["east-1"]) as deployment:
         sock = gevent.socket.create_connection(deployment.listen_address("east-1"))
         head = (
@@ -80,7 +80,7 @@
         assert served == 0
 
 
-def test_no_request_counts_as_open_after_any_kind_of_end():
+def test_no_request_counts_as_in_flight_after_any_kind_of_end():
     with small_deployment(names=["east-1"]) as deployment:
         for fault in ("", "cut", "wrong-id"):
             for endpoint in deployment.endpoints.values():
@@ -91,7 +91,7 @@
         assert [state.own_in_flight for state in endpoints] == [0] * len(endpoints)
 
 
-def test_refusal_by_endpoints_is_retried_and_then_told_as_not_run():
+def test_rejection_by_endpoints_is_retried_and_then_reported_as_not_run():
     with small_deployment(names=["east-1"]) as deployment:
         deployment.endpoints["east-ep1"].behaviour["shed"] = True
         for _ in range(3):
@@ -118,7 +118,7 @@
         assert deployment.run_count("b1") == 1
 
 
-def test_key_of_another_request_is_refused():
+def test_idempotency_key_of_another_request_is_rejected():
     with small_deployment(names=["east-1"]) as deployment:
         deployment.send("east-1", "POST", "/bookings/1", key="b5")
         reply = deployment.send("east-1", "POST", "/bookings/2", key="b5")
@@ -134,7 +134,7 @@
         assert deployment.run_count("b2") == (reply.outcome == "answered")
 
 
-def test_booking_is_refused_truthfully_while_the_store_is_down():
+def test_booking_is_rejected_as_not_run_while_the_store_is_down():
     with small_deployment(names=["east-1"]) as deployment:
         deployment.store.set_faults(down=True)
         reply = deployment.send("east-1", "POST", "/bookings", key="b3")
@@ -151,7 +151,7 @@
         assert deployment.run_count("b3") == 1
 
 
-def test_lost_answer_of_a_booking_is_told_as_unknown():
+def test_booking_with_a_lost_response_is_reported_as_unknown():
     with small_deployment(names=["east-1"]) as deployment:
         for endpoint in deployment.endpoints.values():
             endpoint.behaviour["fault"] = "wrong-id"
@@ -163,7 +163,7 @@
         assert deployment.run_count("b4") == 1
 
 
-def test_malformed_requests_get_clear_refusals():
+def test_malformed_requests_are_rejected_with_a_matching_status():
     with small_deployment(names=["east-1"]) as deployment:
         assert deployment.send("east-1", "GET", "/nowhere").status == 404
         assert deployment.send("east-1", "POST", "/bookings").status == 400
@@ -181,9 +181,9 @@
         assert deployment.send("east-1", "GET", "/status/1").status == 200
 
 
-def test_leaving_endpoint_gets_no_new_work():
+def test_draining_endpoint_gets_no_new_requests():
     with small_deployment(names=["east-1"]) as deployment:
-        assert deployment.put("east-1", leave("east-ep1"), base=1).status == 200
+        assert deployment.put("east-1", drain("east-ep1"), base=1).status == 200
         deployment.wait_for_version(2)
         before = deployment.endpoints["east-ep1"].counts["served"]
         for _ in range(30):
@@ -191,7 +191,7 @@
         assert deployment.endpoints["east-ep1"].counts["served"] == before
 
 
-def test_planned_stop_cuts_nothing_and_leaves_the_look_ups():
+def test_planned_stop_completes_requests_in_flight_and_ends_registration():
     with small_deployment(instances=2, regions=("east",)) as deployment:
         front, other = (deployment.fronts[name] for name in ("east-1", "east-2"))
         for endpoint in deployment.endpoints.values():
@@ -206,48 +206,48 @@
         assert read_row(deployment.store, "instances", "east-1") is None
 
 
-def test_accepted_settings_are_in_force_everywhere_with_the_store_slow():
+def test_accepted_settings_become_active_at_all_instances_with_the_store_slow():
     with small_deployment(instances=2) as deployment:
         deployment.store.set_faults(slow_s=0.2)
-        answer = deployment.put("west-1", leave("east-ep1"), base=1)
-        assert (answer.status, answer.body["version"]) == (200, 2)
+        response = deployment.put("west-1", drain("east-ep1"), base=1)
+        assert (response.status, response.body["version"]) == (200, 2)
         deployment.wait_for_version(2)
         for front in deployment.fronts.values():
             assert not front.endpoints.get("east-ep1").usable()
 
 
-def test_second_operator_is_refused_with_both_versions():
+def test_conflicting_change_is_rejected_with_both_versions():
     with small_deployment(names=["east-1"]) as deployment:
         assert deployment.put("east-1", limit_body(7), base=1).status == 200
-        answer = deployment.put("east-1", limit_body(9), base=1)
-        assert answer.status == 409
-        assert (answer.body["base"], answer.body["current"]) == (1, 2)
-        assert answer.body["subtree"]["services"]["desk"]["max_body_bytes"] == 7
+        response = deployment.put("east-1", limit_body(9), base=1)
+        assert response.status == 409
+        assert (response.body["base"], response.body["current"]) == (1, 2)
+        assert response.body["subtree"]["services"]["desk"]["max_body_bytes"] == 7
 
 
-def test_lost_reply_to_a_change_is_resolved():
+def test_lost_reply_of_the_store_to_a_change_is_resolved():
     with small_deployment(names=["east-1"]) as deployment:
         deployment.store.set_faults(lose_replies=1)
-        answer = deployment.put("east-1", limit_body(8), base=1)
-        assert (answer.status, answer.body["version"]) == (200, 2)
+        response = deployment.put("east-1", limit_body(8), base=1)
+        assert (response.status, response.body["version"]) == (200, 2)
 
 
-def test_wrong_settings_and_credentials_change_nothing():
+def test_invalid_settings_and_wrong_credentials_change_nothing():
     with small_deployment(names=["east-1"]) as deployment:
 
-        def spoil(subtree):
+        def invalidate(subtree):
             subtree["services"]["desk"]["endpoints"]["east-ep1"]["slots"] = 0
             subtree["shifst"] = {}
 
-        answer = deployment.put("east-1", spoil, base=1)
-        assert answer.status == 422
-        assert len(answer.body["faults"]) == 2
-        refused = deployment.put("east-1", lambda s: None, 1, "wrong")
-        assert refused.status == 403
+        response = deployment.put("east-1", invalidate, base=1)
+        assert response.status == 422
+        assert len(response.body["faults"]) == 2
+        rejected = deployment.put("east-1", lambda s: None, 1, "wrong")
+        assert rejected.status == 403
         assert deployment.fronts["east-1"].cluster_state.configuration().version == 1
 
 
-def test_settings_written_by_others_with_faults_are_refused_and_the_old_ones_hold():
+def test_invalid_settings_written_by_others_are_rejected_and_the_old_ones_stay_active():
     with small_deployment(names=["east-1"]) as deployment:
         deployment.store.put("settings", "config/team/desk", b'{"services": 7}')
         head = {"version": 2, "teams": {"network": 1, "desk": 2}, "token": ""}
@@ -257,7 +257,7 @@
         assert deployment.send("east-1", "GET", "/status/1").status == 200
 
 
-def test_restart_with_the_store_down_learns_from_peers_and_never_goes_back():
+def test_restart_with_the_store_down_gets_settings_from_peers_and_no_older_ones():
     with small_deployment(instances=2) as deployment:
         deployment.put("east-1", limit_body(9000), base=1)
         deployment.wait_for_version(2)
@@ -278,14 +278,14 @@
 
         deployment.put("east-1", limit, base=1)
         deployment.wait_for_version(2)
-        most = 0
+        peak = 0
         tasks = [
             gevent.spawn(deployment.send, f"east-{n % 2 + 1}", "GET", f"/status/{n}")
             for n in range(40)
         ]
         while not all(task.ready() for task in tasks):
-            most = max(most, sum(e.busy for e in deployment.endpoints.values()))
+            peak = max(peak, sum(e.busy for e in deployment.endpoints.values()))
             gevent.sleep(0.005)
         outcomes = {task.value.outcome for task in tasks}
         assert outcomes == {"answered", "not-run"}
-        assert 1 < most <= 5
+        assert 1 < peak <= 5
--- a/quetzalwall/process/tests/test_tasks.py
+++ b/quetzalwall/process/tests/test_tasks.py
@@ -11,7 +11,7 @@
 )
 
 
-def test_a_failed_round_does_not_end_a_task_and_is_not_tried_at_once_again():
+def test_a_failed_round_does_not_end_a_task_and_is_not_retried_at_once():
     rounds = []
 
     def step():
@@ -25,8 +25,8 @@
     assert len(rounds) == 2
 
 
-# A task ended by an unforeseen exception: the instance ran on and learned nothing new.
-def test_an_instance_hears_others_after_an_unforeseen_failure():
+# An unexpected exception ended a task: the instance ran on without any further updates.
+def test_an_instance_receives_reports_after_an_unexpected_exception():
     with running_site(fronts=2) as site:
         front = site.fronts[0]
         receive = front.fleet.receive
@@ -41,7 +41,7 @@
         assert len(front.fleet.live()) == 2
 
 
-def test_a_configuration_comes_into_force_after_an_unforeseen_failure():
+def test_a_configuration_becomes_active_after_an_unexpected_exception():
     with running_site() as site:
         cluster_state = site.fronts[0].cluster_state
         apply = cluster_state.apply
@@ -55,8 +55,8 @@
         wait_for(lambda: cluster_state.configuration().version == 2)
 
 
-# An entry whose address no socket takes ended the task that follows all endpoints.
-def test_an_entry_with_an_impossible_address_names_no_endpoint():
+# An entry with an address that no socket accepts ended the task that reads all entries.
+def test_an_entry_with_an_impossible_address_is_ignored():
     with running_site(endpoints=1) as site:
         for number, address in enumerate(
             ("300.1.1.1:80", "127.0.0.1:70000", "1.1.1.1:0")
--- a/quetzalwall/process/tests/test_truncated_responses.py
+++ b/quetzalwall/process/tests/test_truncated_responses.py
@@ -1,4 +1,4 @@
-"""What callers get, byte for byte, of an answer that its endpoint cuts at any byte."""
+"""What callers get when an endpoint truncates its response after any byte."""
 
 import struct
 
@@ -8,10 +8,10 @@
 
 from quetzalwall.tests.platform_fixtures import HOST, running_site
 
-LINGER = struct.pack("ii", 1, 0)  # close with a reset
-NAME = "X-Quetzalwall-Request-Id: 0123456789abcdef\r\n"
+LINGER = struct.pack("ii", 1, 0)  # makes close() reset the connection
+REQUEST_ID = "X-Quetzalwall-Request-Id: 0123456789abcdef\r\n"
 STAMP = "X-Quetzalwall-Server-Stamp: s\r\n"
-OK = f"HTTP/1.1 200 OK\r\n{STAMP}{NAME}".encode()
+OK = f"HTTP/1.1 200 OK\r\n{STAMP}{REQUEST_ID}".encode()
 HINTS = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
 FORMS = {
     "length": (OK + b"Content-Length: 5\r\n\r\n", b"hello"),
@@ -35,8 +35,8 @@
 }
 
 
-class Cutter:
-    """An endpoint that sends some pieces and closes."""
+class ScriptedEndpoint:
+    """Makes the endpoint of a site send given pieces and close the connection."""
 
     def __init__(self, site):
         self.pieces = []
@@ -56,26 +56,26 @@
             sock.sendall(piece)
             gevent.sleep(0)
         if self.resets:
-            gevent.sleep(0.02)  # a reset at once would take the bytes with it
+            gevent.sleep(0.02)  # an immediate reset would discard the bytes
             sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_LINGER, LINGER)
         sock.close()
 
-    def ask(self, *pieces, method="GET", target="/look/1"):
-        """Return all bytes that a caller gets while the endpoint sends these."""
+    def relay(self, *pieces, method="GET", target="/look/1"):
+        """Return all bytes that a caller gets when the endpoint sends these pieces."""
         self.pieces = pieces
-        self._state.record_success()  # it is not to be avoided
-        place = (self._site.fronts[0].settings.address, self._site.ports[0])
-        sock = gevent.socket.create_connection(place)
-        head = f"{method} {target} HTTP/1.1\r\nHost: {HOST}\r\n{NAME}"
+        self._state.record_success()  # so that the endpoint is not avoided
+        address = (self._site.fronts[0].settings.address, self._site.ports[0])
+        sock = gevent.socket.create_connection(address)
+        head = f"{method} {target} HTTP/1.1\r\nHost: {HOST}\r\n{REQUEST_ID}"
         sock.sendall(f"{head}Connection: close\r\n\r\n".encode())
-        got = b"".join(iter(lambda: sock.recv(65536), b""))
+        received = b"".join(iter(lambda: sock.recv(65536), b""))
         sock.close()
-        return got
+        return received
 
 
-def told(got):
-    """Return status, header lines and body of an answer whose framing holds."""
-    head, _, body = got.partition(b"\r\n\r\n")
+def parse_complete(raw):
+    """Return status, header lines and body; fail if the framing is not complete."""
+    head, _, body = raw.partition(b"\r\n\r\n")
     line, *lines = head.split(b"\r\n")
     status = int(line.split()[1])
     lengths = [int(text[16:]) for text in lines if text.startswith(b"Content-Length: ")]
@@ -83,50 +83,50 @@
     return status, lines, body
 
 
-# Callers got a 200 with an empty or short body, framed as whole.
+# Callers got a 200 with an empty or short body whose framing was complete.
 @params(*FORMS)
-def test_a_cut_answer_never_looks_whole(form):
+def test_a_truncated_response_never_looks_complete(form):
     head, rest = FORMS[form]
-    raw, whole = head + rest, b"hello" if rest else b""
-    ends = len(head) if form == "end of connection" else len(raw)
+    raw, expected_body = head + rest, b"hello" if rest else b""
+    end = len(head) if form == "end of connection" else len(raw)
     with running_site(endpoints=1) as site:
-        cutter = Cutter(site)
-        status, lines, body = told(cutter.ask(raw))
-        assert (status, body) == (int(form) if form.isdigit() else 200, whole)
+        endpoint = ScriptedEndpoint(site)
+        status, lines, body = parse_complete(endpoint.relay(raw))
+        assert (status, body) == (int(form) if form.isdigit() else 200, expected_body)
         assert STAMP.strip().encode() in lines
-        for cut in range(ends):
+        for cut in range(end):
             for pieces in ((raw[:cut],), (raw[: cut // 2], raw[cut // 2 : cut])):
-                status, lines, _ = told(cutter.ask(*pieces))
+                status, lines, _ = parse_complete(endpoint.relay(*pieces))
                 assert (cut, status) == (cut, 502)
                 assert STAMP.strip().encode() not in lines
 
 
-def test_pieces_look_like_the_whole():
+def test_a_response_in_two_pieces_equals_the_undivided_one():
     with running_site(endpoints=1) as site:
-        cutter = Cutter(site)
+        endpoint = ScriptedEndpoint(site)
         for head, rest in FORMS.values():
             raw = head + rest
-            whole = told(cutter.ask(raw))
+            undivided = parse_complete(endpoint.relay(raw))
             for cut in range(1, len(raw)):
-                got = told(cutter.ask(raw[:cut], raw[cut:]))
-                assert (got[0], got[2]) == (whole[0], whole[2]), cut
+                got = parse_complete(endpoint.relay(raw[:cut], raw[cut:]))
+                assert (got[0], got[2]) == (undivided[0], undivided[2]), cut
 
 
 @params("length", "no body", "interim", "204")
-def test_a_cut_answer_to_head_never_looks_whole(form):
+def test_a_truncated_response_to_head_never_looks_complete(form):
     head = FORMS[form][0]
     with running_site(endpoints=1) as site:
-        cutter = Cutter(site)
+        endpoint = ScriptedEndpoint(site)
         expected = b"204" if form == "204" else b"200"
-        assert cutter.ask(head, method="HEAD").split()[1] == expected
+        assert endpoint.relay(head, method="HEAD").split()[1] == expected
         for cut in range(len(head)):
-            assert told(cutter.ask(head[:cut], method="HEAD"))[0] == 502
+            assert parse_complete(endpoint.relay(head[:cut], method="HEAD"))[0] == 502
 
 
-def test_an_answer_without_a_length_that_is_reset_is_not_whole():
+def test_a_response_without_a_length_is_incomplete_after_a_reset():
     head, rest = FORMS["end of connection"]
     with running_site(endpoints=1) as site:
-        cutter = Cutter(site)
-        cutter.resets = True
+        endpoint = ScriptedEndpoint(site)
+        endpoint.resets = True
         for cut in range(len(head), len(head + rest) + 1):
-            assert told(cutter.ask((head + rest)[:cut]))[0] == 502
+            assert parse_complete(endpoint.relay((head + rest)[:cut]))[0] == 502
--- a/quetzalwall/tests/daemon_fixture.py
+++ b/quetzalwall/tests/daemon_fixture.py
@@ -1,4 +1,4 @@
-"""Fixture of tests that run the daemon as a process of its own."""
+"""Fixture for tests that run the daemon as a separate process."""
 
 import os
 import subprocess
@@ -17,15 +17,15 @@
 
 
 class Daemon:
-    """A running process, and where it listens for callers."""
+    """A running process and the address at which it serves callers."""
 
-    def __init__(self, process, output, callers):
+    def __init__(self, process, output, callers_address):
         self.process = process
-        self.callers_address = callers
+        self.callers_address = callers_address
         self._output = output
 
     def read_output(self):
-        """Return all that it has written."""
+        """Return everything that the process has written."""
         self._output.seek(0)
         return self._output.read()
 
@@ -35,9 +35,9 @@
 
 @contextmanager
 def running_daemon(settings=None, streams=None, **environ):
-    """Run an instance whose store is down, with further settings and variables.
+    """Run an instance whose store is down, with further settings and environment.
 
-    `streams` are its standard output and error, if not a file.
+    `streams` are its standard output and error; a file that can be read if None.
     """
     ports = free_ports(7)
     body = settings_body(own_address(0), (own_address(0), ports[6]), ports)
--- a/quetzalwall/tests/platform_fixtures.py
+++ b/quetzalwall/tests/platform_fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures of tests on the platform: store, endpoints and instances in one process."""
+"""Fixtures for tests on the platform: store, endpoints and instances in one process."""
 
 import json
 import os
@@ -25,7 +25,7 @@
 
 
 class ManualClock:
-    """Clock that a test moves."""
+    """Clock that a test advances."""
 
     def __init__(self, now=1000.0):
         self.now = now
@@ -38,33 +38,34 @@
 
 
 class LoopMonitor:
-    """Measures how long the event loop is held, and the memory meanwhile.
+    """Measures how long the event loop is blocked, and the growth of memory.
 
-    Held time is processor time of this process, so that it does not depend on what
-    else the machine does.
+    Blocked time is processor time of this process, so that it does not depend on the
+    load of the machine.
     """
 
     def __init__(self):
-        self.loop_lag_s = 0.0
-        self.began = self.most = resident_bytes()
+        self.blocked_s = 0.0
+        self.start_bytes = self.peak_bytes = resident_bytes()
         self._task = gevent.spawn(self._run)
         gevent.sleep(0.05)
 
     def _run(self):
         while True:
-            used = time.process_time()
+            before_s = time.process_time()
             gevent.sleep(0.01)
-            self.loop_lag_s = max(self.loop_lag_s, time.process_time() - used)
-            self.most = max(self.most, resident_bytes())
+            self.blocked_s = max(self.blocked_s, time.process_time() - before_s)
+            self.peak_bytes = max(self.peak_bytes, resident_bytes())
 
     def stop(self):
+        """Return the longest blocked time in seconds and the growth in bytes."""
         gevent.sleep(0.02)
         self._task.kill()
-        return self.loop_lag_s, self.most - self.began
+        return self.blocked_s, self.peak_bytes - self.start_bytes
 
 
 def config_body(version=1, routes=None, services=("desk",)):
-    """Return the body of a configuration as the operator writes it."""
+    """Return the body of a configuration as operators write it."""
     routes = routes or [
         route_row("look", "/look/"),
         route_row("book", "/book/", "unsafe"),
@@ -83,13 +84,13 @@
 
 
 def route_row(name, prefix, kind="safe", timeout="2s", service="desk", split=None):
-    """Return a row of the table of routes."""
+    """Return one row of the routes of a configuration."""
     service = None if split else service
     return [name, HOST, prefix, kind, timeout, "500ms", 1, service, 2, True, [], split]
 
 
 def entry_body(place, service="desk", state="ready", domain="north-a", **fields):
-    """Return what an endpoint says of itself in the store."""
+    """Return the entry of an endpoint in the store; ``place`` is its address."""
     body = {
         "service": service,
         "address": f"{place[0]}:{place[1]}",
@@ -134,13 +135,13 @@
 
 
 def own_address(number):
-    """Return an address on loopback that no other test process uses."""
+    """Return a loopback address that no other test process uses."""
     pid = os.getpid()
     return f"127.{32 + pid % 192}.{pid // 192 % 256}.{number + 1}"
 
 
 def free_ports(count):
-    """Return ports of the own addresses that nobody listens on now."""
+    """Return ports that are free at the own addresses."""
     socks = [socket.socket() for _ in range(count)]
     try:
         for sock in socks:
@@ -182,18 +183,21 @@
 def call(address, port, target, method="GET", body=b"", **headers):
     """Send one request; return status, headers and body."""
     client = HTTPClient(address, port=port, network_timeout=10.0)
-    sent = {"Host": HOST, "X-Quetzalwall-Request-Id": f"{random.getrandbits(64):016x}"}
-    sent |= {name.replace("_", "-"): value for name, value in headers.items()}
+    fields = {
+        "Host": HOST,
+        "X-Quetzalwall-Request-Id": f"{random.getrandbits(64):016x}",
+    }
+    fields |= {name.replace("_", "-"): value for name, value in headers.items()}
     try:
-        res = client.request(method, target, body=body, headers=sent)
+        res = client.request(method, target, body=body, headers=fields)
         return res.status_code, dict(res.items()), bytes(res.read())
     finally:
         client.close()
 
 
-def wait_for(condition, limit_s=WAIT_TIMEOUT_S):
-    """Wait until a condition holds; fail if it does not in time."""
-    with gevent.Timeout(limit_s, AssertionError(f"not in {limit_s} s")):
+def wait_for(condition, timeout_s=WAIT_TIMEOUT_S):
+    """Wait until a condition holds; fail if it does not within the time-out."""
+    with gevent.Timeout(timeout_s, AssertionError(f"not met in {timeout_s} s")):
         while not condition():
             gevent.sleep(0.01)
 
@@ -206,13 +210,13 @@
         store = create_metadata_store()
         store.start()
         stack.callback(store.close)
-        served = [
+        standins = [
             create_served_endpoint(f"ep-{n}", work_s=work_s, **options)
             for n in range(endpoints)
         ]
-        site = Site(store, served, [], ports)
+        site = Site(store, standins, [], ports)
         site.write_config(config_body())
-        for endpoint in served:
+        for endpoint in standins:
             endpoint.start()
             stack.callback(endpoint.close)
             site.register(endpoint)
@@ -225,7 +229,7 @@
 
 
 def start_front(stack, site, number, seeds=(), **fields):
-    """Start one more instance."""
+    """Start one more instance, which is closed with the stack."""
     address = own_address(number)
     domain = ("north-a", "north-b", "south-a")[number % 3]
     body = settings_body(
--- a/quetzalwall/tests/product_fixtures.py
+++ b/quetzalwall/tests/product_fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures of tests of the product's own interface."""
+"""Fixtures for tests of the product's own interface and settings tree."""
 
 import copy
 import json
@@ -41,7 +41,7 @@
 
 
 def make_tree(regions=("east", "west"), endpoints=2, slots=4):
-    """Return a small settings tree with ``endpoints`` a region."""
+    """Return a small settings tree with ``endpoints`` in each region."""
     network = {
         "regions": {r: {"domains": [f"{r}-a", f"{r}-b"]} for r in regions},
         "classes": CLASSES,
@@ -51,7 +51,7 @@
         "routes": ROUTES,
         "max_body_bytes": 50_000_000,
         "endpoints": {
-            f"{r}-ep{n + 1}": {**_place(r, n, 7200), "slots": slots}
+            f"{r}-ep{n + 1}": {**_location(r, n, 7200), "slots": slots}
             for r in regions
             for n in range(endpoints)
         },
@@ -60,7 +60,7 @@
     return copy.deepcopy(tree)
 
 
-def _place(region, number, port):
+def _location(region, number, port):
     return {
         "address": "127.0.0.1",
         "port": port,
@@ -89,9 +89,9 @@
 
 
 def read_row(store, table, key):
-    """Return the decoded value of a row, or None."""
-    found = store.rows.get((table, "", key))
-    return None if found is None else json.loads(found[0])
+    """Return the decoded value of a row, or None if there is none."""
+    row = store.rows.get((table, "", key))
+    return None if row is None else json.loads(row[0])
 
 
 @contextmanager
@@ -105,7 +105,7 @@
 
 
 class SmallDeployment:
-    """Store, endpoints and instances in this process, with a settings tree."""
+    """A store, endpoints and instances in this process, with a settings tree."""
 
     def __init__(self, store, endpoints, tree, regions, instances):
         self.store = store
@@ -115,8 +115,8 @@
         self.fronts = {}
         names = [(r, n) for r in regions for n in range(instances)]
         self.addresses = {
-            f"{region}-{number + 1}": own_address(listen_address)
-            for listen_address, (region, number) in enumerate(names)
+            f"{region}-{number + 1}": own_address(index)
+            for index, (region, number) in enumerate(names)
         }
 
     def settings(self, name):
@@ -129,7 +129,9 @@
             "region": region,
             "domain": f"{region}-{'ab'[(int(number) - 1) % 2]}",
             "domains": {},
-            "listen": {part: f"{address}:{self.ports[part]}" for part in LISTENERS},
+            "listen": {
+                listener: f"{address}:{self.ports[listener]}" for listener in LISTENERS
+            },
             "peer_ports": [self.ports["datagrams"]] * 2,
             "seeds": [
                 f"{other}:{self.ports['peers']}" for other in self.addresses.values()
@@ -146,8 +148,8 @@
         front.start()
         return front
 
-    def listen_address(self, name, part="callers"):
-        return self.addresses[name], self.ports[part]
+    def listen_address(self, name, listener="callers"):
+        return self.addresses[name], self.ports[listener]
 
     def wait(self, condition, timeout_s=10.0):
         wait_for(condition, timeout_s)
@@ -162,7 +164,7 @@
         )
 
     def send(self, name, method, path, body=b"", length=0, key=None, timeout_s=8.0):
-        """Send one request; return status, outcome, response and body."""
+        """Send one request to the callers' listener; return its `Reply`."""
         headers = {"Idempotency-Key": key} if key else {}
         client = create_client(*self.listen_address(name), name)
         try:
@@ -173,7 +175,7 @@
             client.close()
 
     def call(self, name, method, target, body=None, headers=None):
-        """Call an instance as an operator or a look-up does."""
+        """Send a request to the look-up listener of an instance."""
         client = create_json_client(
             *self.listen_address(name, "lookup"), name, timeout_s=5.0
         )
@@ -183,7 +185,7 @@
             client.close()
 
     def put(self, name, change, base, credential="c"):
-        """Change the subtree of the team ``desk``."""
+        """Put a changed subtree of the team ``desk``."""
         subtree = copy.deepcopy(self.tree["desk"])
         change(subtree)
         body = {"team": "desk", "subtree": subtree, "base": base, "author": "tester"}
@@ -191,11 +193,12 @@
         return self.call(name, "PUT", "/settings", body, headers)
 
     def run_count(self, key):
+        """Return how often requests with an idempotency key ran at all endpoints."""
         return sum(e.runs.get(key, 0) for e in self.endpoints.values())
 
 
 class Reply:
-    """What a caller got."""
+    """Response that a caller received, with its outcome header."""
 
     def __init__(self, res, body):
         self.status = res.status_code
@@ -210,7 +213,10 @@
 
 @contextmanager
 def small_deployment(names=None, regions=("east", "west"), instances=1, **options):
-    """Run a deployment in this process; ``names`` are the instances to start."""
+    """Run a deployment in this process.
+
+    ``names`` are the instances to start; all of them if None.
+    """
     tree = make_tree(regions=regions, **options)
     tree["network"]["credentials"] = {"desk": DESK_CREDENTIAL}
     with ExitStack() as stack:
@@ -225,15 +231,15 @@
             endpoints[name] = endpoint
         load_tree(store, tree)
         deployment = SmallDeployment(store, endpoints, tree, regions, instances)
-        chosen = list(deployment.addresses) if names is None else names
+        started = list(deployment.addresses) if names is None else names
         try:
-            for name in chosen:
+            for name in started:
                 deployment.start_front(name)
             deployment.wait_for_version(1)
-            live = len(chosen)
+            live_count = len(started)
             deployment.wait(
                 lambda: all(
-                    len(front.fleet.live()) == live
+                    len(front.fleet.live()) == live_count
                     for front in deployment.fronts.values()
                 )
             )
@@ -255,7 +261,7 @@
 
 @contextmanager
 def scripted_server(handle):
-    """Run ``handle(sock)`` for each accepted connection; yields the port."""
+    """Run ``handle(sock)`` for each accepted connection; yield the port."""
     listener = gevent.socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(16)
@@ -280,7 +286,7 @@
 
 
 def read_request_head(sock):
-    """Return the head of the next request, or b"" if the connection closed."""
+    """Return the head of the next request; b"" if the connection was closed."""
     data = b""
     while b"\r\n\r\n" not in data:
         block = sock.recv(65536)
@@ -291,7 +297,7 @@
 
 
 def parse_request_id(head):
-    """Return the identifier in a request's head."""
+    """Return the request id in the head of a request; empty if there is none."""
     for line in head.decode().split("\r\n"):
         if line.lower().startswith("x-request-id:"):
             return line.split(":", 1)[1].strip()
--- a/quetzalwall/tests/test_daemon_output.py
+++ b/quetzalwall/tests/test_daemon_output.py
@@ -1,4 +1,4 @@
-"""What a daemon writes, where nobody reads it and where it ends."""
+"""Output of a daemon while nobody reads it, and at its end."""
 
 import os
 import subprocess
@@ -11,9 +11,9 @@
 from quetzalwall.tests.platform_fixtures import HOST, call, wait_for
 
 REQUESTS = 200
-HEAD_LINES = 200  # more than the library's parser takes; it writes a stack for each
+HEAD_LINES = 200  # more than gevent accepts; it writes a stack trace for each request
 HEAD = f"GET / HTTP/1.1\r\nHost: {HOST}\r\n" + "a: b\r\n" * HEAD_LINES + "\r\n"
-ENDING = """
+CRASH = """
 from quetzalwall.logs import get_logger, log_event, setup_bounded_logs
 setup_bounded_logs()
 log_event(get_logger("part"), "last")
@@ -21,37 +21,37 @@
 """
 
 
-def send(place):
-    with gevent.socket.create_connection(place, timeout=2.0) as sock:
+def send_too_many_lines(address):
+    with gevent.socket.create_connection(address, timeout=2.0) as sock:
         sock.sendall(HEAD.encode())
         return sock.recv(4096)
 
 
-def answers(run):
+def responds(run):
     try:
         return call(*run.callers_address, "/look/1")[0] == 503
     except OSError:
         return False
 
 
-# A process that nobody reads stood still for ever, once its standard error was full.
-def test_an_instance_serves_while_nobody_reads_what_it_writes():
-    ends = [os.pipe(), os.pipe()]
+# A process blocked for ever once its standard error, a pipe that nobody read, was full.
+def test_an_instance_serves_while_nobody_reads_its_output():
+    pipes = [os.pipe(), os.pipe()]
     try:
-        with running_daemon(streams=[writer for _, writer in ends]) as run:
-            wait_for(lambda: answers(run), START_TIMEOUT_S)
+        with running_daemon(streams=[writer for _, writer in pipes]) as run:
+            wait_for(lambda: responds(run), START_TIMEOUT_S)
             for _ in range(REQUESTS):
-                assert b"400" in send(run.callers_address)
-            assert answers(run)
+                assert b"400" in send_too_many_lines(run.callers_address)
+            assert responds(run)
     finally:
-        for end in ends:
-            os.close(end[0])
-            os.close(end[1])
+        for pipe in pipes:
+            os.close(pipe[0])
+            os.close(pipe[1])
 
 
-# A process that ended by itself left nothing of its last lines.
-def test_the_last_lines_and_the_reason_of_an_end_are_in_the_log():
-    done = subprocess.run([sys.executable, "-c", ENDING], capture_output=True)
+# When a process crashed, its last log lines were lost.
+def test_the_last_lines_and_the_exception_of_a_crash_are_in_the_log():
+    done = subprocess.run([sys.executable, "-c", CRASH], capture_output=True)
     assert done.returncode == 1
     assert b"part=part event=last" in done.stdout
     assert b"part=stderr event=written" in done.stdout
--- a/quetzalwall/tests/test_daemon_start.py
+++ b/quetzalwall/tests/test_daemon_start.py
@@ -18,62 +18,64 @@
 )
 
 
-def accepts(place):
-    """Whether somebody accepts a connection at an address."""
+def accepts(address):
+    """Return whether a process accepts connections at an address."""
     try:
-        socket.create_connection(place, 1.0).close()
+        socket.create_connection(address, 1.0).close()
     except OSError:
         return False
     return True
 
 
-# "The system did not start from its deploy file", report 3: a process whose standard
-# output is closed ended at its start.
+# "The system did not start from its deploy file", report 3: a process that was started
+# with its standard output closed exited at once.
 def test_an_instance_starts_with_closed_standard_streams():
-    ended = {closed: status_with(closed) for closed in ((1,), (1, 2), (0, 1, 2))}
-    assert set(ended.values()) == {None}, ended
+    statuses = {closed: exit_status(closed) for closed in ((1,), (1, 2), (0, 1, 2))}
+    assert set(statuses.values()) == {None}, statuses
 
 
-# The same report: a socket in the place of a closed stream would be sent the log.
-def test_what_was_closed_at_the_start_is_no_socket_later():
+# The same report: a socket that gets the descriptor of a closed standard stream would
+# be sent log lines.
+def test_no_socket_gets_the_descriptor_of_a_closed_standard_stream():
     with started_with((0, 1, 2)) as process:
         names = [os.readlink(f"/proc/{process.pid}/fd/{number}") for number in range(3)]
     assert names == [os.devnull] * 3
 
 
-# Found beside it: lines that can't be written were followed by a stack, for ever.
+# Found during that work: each line that could not be written caused a stack trace,
+# which could not be written either, without end.
 def test_lines_that_can_not_be_written_are_dropped():
     reader, writer = os.pipe()
     os.close(reader)
     handler = BoundedHandler(writer, "INFO")
-    with mock.patch.object(gevent.get_hub(), "print_exception") as stack:
+    with mock.patch.object(gevent.get_hub(), "print_exception") as print_exception:
         with handler.applicationbound():
             log_event(get_logger("part"), "lost")
         gevent.sleep(4 * WRITE_DELAY_S)
     os.close(writer)
-    assert not stack.called
+    assert not print_exception.called
 
 
-def status_with(closed):
-    """Return the exit status of an instance that does not start, or None."""
+def exit_status(closed):
+    """Return the exit status of an instance that does not start; None if it does."""
     with started_with(closed) as process:
         return process.poll()
 
 
 @contextmanager
 def started_with(closed):
-    """Start an instance and wait until it accepts or has ended."""
+    """Start an instance with closed descriptors; wait until it accepts or exits."""
     ports = free_ports(7)
-    place = (own_address(0), ports[0])
-    file = write_settings(settings_body(place[0], (place[0], ports[6]), ports))
+    address = (own_address(0), ports[0])
+    file = write_settings(settings_body(address[0], (address[0], ports[6]), ports))
     process = subprocess.Popen(
         [sys.executable, "-m", "quetzalwall", "front", "--settings", file],
         preexec_fn=lambda: [os.close(number) for number in closed],
     )
     try:
-        end = time.monotonic() + START_TIMEOUT_S
-        while not accepts(place) and process.poll() is None:
-            assert time.monotonic() < end
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while not accepts(address) and process.poll() is None:
+            assert time.monotonic() < deadline
             time.sleep(0.05)
         yield process
     finally:
