--- a/quetzalwall/process/cluster/endpoint_state.py
+++ b/quetzalwall/process/cluster/endpoint_state.py
@@ -334,7 +334,7 @@
         self._avoid_until = max(self._avoid_until, now + SHED_AVOID_S)
 
 
-def create_endpoint_state(entry, region, parse_response, monotonic, connections):
+def create_endpoint_state(entry, region, parse_response, monotonic, connection_limiter):
     """Return the state of a newly registered endpoint.
 
     Parameters
@@ -347,7 +347,7 @@
         Takes status and headers of a response; returns its `ResponseMetadata`.
     monotonic : callable
         Clock in seconds.
-    connections : ConnectionLimiter
+    connection_limiter : ConnectionLimiter
         Limits the connections to all endpoints together.
 
     Returns
@@ -357,5 +357,5 @@
     client = create_endpoint_client(
         entry.name, entry.host, entry.port, parse_response, monotonic
     )
-    client.limiter = connections
+    client.limiter = connection_limiter
     return EndpointState(entry, region, client, monotonic())
--- a/quetzalwall/process/cluster/endpoint_table.py
+++ b/quetzalwall/process/cluster/endpoint_table.py
@@ -36,7 +36,7 @@
         Region of each failure domain.
     evacuated : set of str
         Failure domains whose endpoints get no requests.
-    connections : ConnectionLimiter
+    connection_limiter : ConnectionLimiter
         Limits the connections to all endpoints together.
     removal_count : int
         Increases with each endpoint that is removed.
@@ -45,7 +45,7 @@
     def __init__(self, domains, parse_response, monotonic):
         self.domains = domains
         self.evacuated = set()
-        self.connections = ConnectionLimiter()
+        self.connection_limiter = ConnectionLimiter()
         self._parse_response = parse_response
         self._monotonic = monotonic
         self._states = {}
@@ -317,7 +317,11 @@
     def _register(self, entry, old):
         region = self.domains.get(entry.domain, "")
         state = create_endpoint_state(
-            entry, region, self._parse_response, self._monotonic, self.connections
+            entry,
+            region,
+            self._parse_response,
+            self._monotonic,
+            self.connection_limiter,
         )
         if old is not None:
             old.registered = False
--- a/quetzalwall/process/cluster/peer_tables.py
+++ b/quetzalwall/process/cluster/peer_tables.py
@@ -43,7 +43,7 @@
         self._monotonic = monotonic
         self._failed_at = {}
 
-    def ask(self, table, after):
+    def fetch(self, table, after):
         """Return what another instance knows of a table, by one request.
 
         The seeds are asked while neither the table nor an instance with it is known.
--- a/quetzalwall/process/cluster/tests/test_peer_tables.py
+++ b/quetzalwall/process/cluster/tests/test_peer_tables.py
@@ -38,7 +38,7 @@
             tables = peer_tables.create_peer_tables(
                 fleet, 1, list, random.Random(n), monotonic
             )
-            tables.ask(TABLE, 5)
+            tables.fetch(TABLE, 5)
     assert sum(asked.values()) == ASKING_INSTANCES
     assert max(asked.values()) < MAX_FRACTION * ASKING_INSTANCES
 
@@ -61,6 +61,6 @@
             fleet, 1, list, None, system_clock().monotonic
         )
         for _ in range(6):
-            assert tables.ask(TABLE, 5) is None
+            assert tables.fetch(TABLE, 5) is None
     assert sorted(asked[:4]) == sorted(own_region)
     assert asked[4:] == [other.host, asked[0]]
--- a/quetzalwall/process/cluster/tests/test_store_watch.py
+++ b/quetzalwall/process/cluster/tests/test_store_watch.py
@@ -55,7 +55,7 @@
             fleet = create_fleet_with_peers(hosts, 7)
             monotonic = system_clock().monotonic
             tables = create_peer_tables(fleet, port, list, None, monotonic)
-            found = [tables.ask(TABLE, 5) for _ in range(4)]
+            found = [tables.fetch(TABLE, 5) for _ in range(4)]
         failure_counts.append(found.count(None))
         assert found[: failure_counts[-1]] == [None] * failure_counts[-1]
         assert {rows.version for rows, _ in found[failure_counts[-1] :]} == {7}
--- a/quetzalwall/process/front.py
+++ b/quetzalwall/process/front.py
@@ -112,7 +112,7 @@
         self.endpoints = create_endpoint_table(
             settings.domains, dialect.parse_response, now
         )
-        self.endpoints.connections.max_open = max_endpoint_connections(
+        self.endpoints.connection_limiter.max_open = max_endpoint_connections(
             settings.connections
         )
         self.fleet = create_fleet(
@@ -303,7 +303,7 @@
             self._store,
             table,
             on_rows,
-            lambda after: self._peer_tables.ask(table, after),
+            lambda after: self._peer_tables.fetch(table, after),
             self.fleet,
             self.clock.monotonic,
         )
--- a/quetzalwall/process/tests/test_descriptor_limits.py
+++ b/quetzalwall/process/tests/test_descriptor_limits.py
@@ -105,9 +105,9 @@
         front = start_front(stack, site, 1, connections=RESERVED_DESCRIPTORS + 20)
         wait_for(front.cluster_state.ready)
         address = front.settings.address, site.ports[0]
-        max_open = front.endpoints.connections.max_open
+        max_open = front.endpoints.connection_limiter.max_open
         running = [gevent.spawn(call, *address, f"/look/{n}") for n in range(max_open)]
-        wait_for(lambda: front.endpoints.connections.open_count == max_open)
+        wait_for(lambda: front.endpoints.connection_limiter.open_count == max_open)
         start = time.monotonic()
         status = call(*address, "/look/9")[0]
         assert status == 503 and time.monotonic() - start < 0.5
