--- a/quetzalwall/cli/front_command.py
+++ b/quetzalwall/cli/front_command.py
@@ -66,6 +66,6 @@
         return 0
     setup_bounded_logs()
     log_ignored(ignored)
-    descriptors = usable_descriptors(settings.connections)
-    settings = settings._replace(connections=descriptors)
+    descriptors = usable_descriptors(settings.descriptors)
+    settings = settings._replace(descriptors=descriptors)
     return run_front(settings, args.settings)
--- a/quetzalwall/platform/headers.py
+++ b/quetzalwall/platform/headers.py
@@ -15,14 +15,14 @@
 from quetzalwall.request.response import Response, rejection_response
 
 __all__ = [
-    "MOST_ADDRESSES",
+    "MAX_LOOKUP_ADDRESSES",
     "PLATFORM_DIALECT",
     "READY_PATH",
     "parse_response",
     "parse_request",
     "endpoint_headers",
     "lookup_body",
-    "lookup_place",
+    "parse_lookup_query",
 ]
 
 REQUEST_ID = "X-Quetzalwall-Request-Id"
@@ -37,7 +37,7 @@
 OBJECT_COOKIE = "X-Quetzalwall-Affinity-Key"
 OWN = frozenset((DEADLINE.lower(), EXPECT.lower()))
 READY_PATH = "/ready"
-MOST_ADDRESSES = 64  # in the answer of a look-up
+MAX_LOOKUP_ADDRESSES = 64  # in the answer of a look-up
 STAMP = "X-Quetzalwall-Server-Stamp"
 MISDIRECTED = 421
 SUCCESS = range(200, 300)
@@ -132,7 +132,7 @@
     )
 
 
-def lookup_place(environ):
+def parse_lookup_query(environ):
     """Return the host, region and failure domain that a look-up names.
 
     Parameters
--- a/quetzalwall/platform/rows.py
+++ b/quetzalwall/platform/rows.py
@@ -220,7 +220,7 @@
 
 def _limits(record):
     return Limits(
-        body_bytes=int(record.get("maxBodyBytes", Limits().body_bytes)),
+        max_body_bytes=int(record.get("maxBodyBytes", Limits().max_body_bytes)),
         idle_s=_or_default(record.get("idleTimeout"), Limits().idle_s),
     )
 
@@ -256,9 +256,9 @@
         port=int(port),
         domain=_text(record["zone"]),
         slots=slots,
-        leaving=STATES[record["state"]],
+        draining=STATES[record["state"]],
         cold_s=cold_s,
-        born=born,
+        incarnation=born,
     )
 
 
--- a/quetzalwall/platform/settings.py
+++ b/quetzalwall/platform/settings.py
@@ -23,7 +23,7 @@
     "Bounds",
     "InstanceSettings",
     "Listen",
-    "format_places",
+    "format_addresses",
     "log_ignored",
     "parse_place",
     "read_settings",
@@ -182,9 +182,9 @@
         Rate of the machine's link in Mbit/s.
     memory_mb : float
         Memory that the process may use, in MB.
-    connections : int
+    descriptors : int
         Descriptors that the process may have open.
-    configuration : str
+    config_source : str
         ``"operators"`` for the platform's own, ``"tree"`` for the product's tree.
     bounds : Bounds
         The operators' bounds.
@@ -201,8 +201,8 @@
     store: tuple
     link_mbps: float
     memory_mb: float
-    connections: int
-    configuration: str
+    descriptors: int
+    config_source: str
     bounds: Bounds
 
 
@@ -263,8 +263,8 @@
         store=parse_place(body["store"]),
         link_mbps=float(body.get("link_mbps", DEFAULT_LINK_MBPS)),
         memory_mb=float(body.get("memory_mb", DEFAULT_MEMORY_MB)),
-        connections=int(body.get("connections", DEFAULT_CONNECTIONS)),
-        configuration=body.get("configuration", FROM_OPERATORS),
+        descriptors=int(body.get("connections", DEFAULT_CONNECTIONS)),
+        config_source=body.get("configuration", FROM_OPERATORS),
         bounds=Bounds(),
     )
     unread = {fault.path.split("/")[1] for fault in ignored}
@@ -339,7 +339,7 @@
     return host, int(port)
 
 
-def format_places(listen):
+def format_addresses(listen):
     """Return all addresses of a process as text for the log.
 
     Parameters
--- a/quetzalwall/platform/store.py
+++ b/quetzalwall/platform/store.py
@@ -51,16 +51,16 @@
         The rows, or the changes in order.
     version : int
         Newest version of the store; the feed goes on from it.
-    lapsed : frozenset of str, default=frozenset()
+    expired : frozenset of str, default=frozenset()
         Keys of removed rows that may come back, since the store was away.
-    lapse_s : float or None, default=None
+    return_grace_s : float or None, default=None
         Seconds in which they may; None if it was just found.
     """
 
     rows: list
     version: int
-    lapsed: frozenset = frozenset()
-    lapse_s: float | None = None
+    expired: frozenset = frozenset()
+    return_grace_s: float | None = None
 
 
 class Transacted(NamedTuple):
--- a/quetzalwall/platform/tests/test_rows.py
+++ b/quetzalwall/platform/tests/test_rows.py
@@ -81,7 +81,7 @@
 def test_endpoint_entry():
     body = entry_body(PLACE, state="draining", coldLeft="1500ms")
     entry = decode_endpoint("i-1", json.dumps(body).encode())
-    assert entry.leaving and entry.cold_s == 1.5
+    assert entry.draining and entry.cold_s == 1.5
     assert (entry.name, entry.host, entry.port) == ("i-1", "127.0.0.1", 80)
 
 
--- a/quetzalwall/platform/tests/test_settings.py
+++ b/quetzalwall/platform/tests/test_settings.py
@@ -117,8 +117,8 @@
         store=("10.200.1.7", 8142),
         link_mbps=100.0,
         memory_mb=820.0,
-        connections=12300,
-        configuration="operators",
+        descriptors=12300,
+        config_source="operators",
         bounds=Bounds(grace_s=7.0, cold_slack=6.0),
     )
 
--- a/quetzalwall/process/cluster/cluster_state.py
+++ b/quetzalwall/process/cluster/cluster_state.py
@@ -116,7 +116,7 @@
             ]
         expired = {
             c.key for c in changes if c.value is None and after_outage
-        } | rows.lapsed
+        } | rows.expired
         for change in changes:
             self._record_change(table, change, change.key in expired)
         self._versions[table] = rows.version
@@ -133,7 +133,7 @@
         elif table == ENDPOINTS_TABLE:
             self._applying.add(table)
             try:
-                self._apply_endpoints(changes, expired, rows.lapse_s)
+                self._apply_endpoints(changes, expired, rows.return_grace_s)
             finally:
                 self._applying.discard(table)
         else:
--- a/quetzalwall/process/cluster/endpoint_state.py
+++ b/quetzalwall/process/cluster/endpoint_state.py
@@ -90,7 +90,7 @@
         -------
         bool
         """
-        return self.registered and not self.entry.leaving and not self.wrong_address
+        return self.registered and not self.entry.draining and not self.wrong_address
 
     def avoided(self, now):
         """Return whether it failed or shed requests lately and should get none for now.
--- a/quetzalwall/process/cluster/endpoint_table.py
+++ b/quetzalwall/process/cluster/endpoint_table.py
@@ -194,7 +194,7 @@
         moved = state is not None and (
             state.entry.host != entry.host or state.entry.port != entry.port
         )
-        if state is None or moved or state.entry.born != entry.born:
+        if state is None or moved or state.entry.incarnation != entry.incarnation:
             self._register(entry, state)
             if log or state is not None:
                 _log_change("registered" if state is None else "restarted", entry)
@@ -207,10 +207,10 @@
             _discard(self._by_service, old.service, entry.name)
             self._invalidate_routable(old.service)
             self._index(state)
-        if returned or old.leaving != entry.leaving or old.domain != entry.domain:
+        if returned or old.draining != entry.draining or old.domain != entry.domain:
             self._invalidate_routable(entry.service)
-        if old.leaving != entry.leaving or old.service != entry.service:
-            _log_change("leaving" if entry.leaving else "changed", entry)
+        if old.draining != entry.draining or old.service != entry.service:
+            _log_change("leaving" if entry.draining else "changed", entry)
 
     def remove(self, name, after_outage, grace_s=None):
         """Remove an endpoint that is no longer registered, or begin its grace period.
@@ -227,7 +227,7 @@
         state = self._states.get(name)
         if state is None:
             return
-        if after_outage and state.registered and not state.entry.leaving:
+        if after_outage and state.registered and not state.entry.draining:
             if grace_s is None:
                 grace_s = EXPIRY_GRACE_S
             state.grace_until = self._monotonic() + grace_s
@@ -329,7 +329,7 @@
             self._unindex(old)
         at_address = self._by_address.setdefault((entry.host, entry.port), {})
         for other in at_address.values():
-            if other.entry.born <= entry.born:
+            if other.entry.incarnation <= entry.incarnation:
                 other.wrong_address = True
                 self._invalidate_routable(other.entry.service)
         at_address[entry.name] = state
@@ -384,7 +384,7 @@
         place=f"{entry.host}:{entry.port}",
         domain=entry.domain,
         cold_s=entry.cold_s,
-        born=entry.born,
+        born=entry.incarnation,
     )
 
 
--- a/quetzalwall/process/cluster/tests/test_cluster_state.py
+++ b/quetzalwall/process/cluster/tests/test_cluster_state.py
@@ -190,7 +190,7 @@
     unregister(cluster_state, "ep-1", 3, after_outage=True)
     body = cluster_state.export("servers", other.fleet.table_versions["servers"])
     rows, complete = read_exported(json.loads(json.dumps(body)), "one")
-    assert not complete and rows.lapsed == {"ep-1"}
+    assert not complete and rows.expired == {"ep-1"}
     other.apply("servers", rows, complete, False)
     assert routable_names(other) == ["ep-1", "ep-2"]
     assert other.endpoints.get("ep-1").grace_until is not None
--- a/quetzalwall/process/front.py
+++ b/quetzalwall/process/front.py
@@ -19,7 +19,7 @@
 from quetzalwall.platform.headers import PLATFORM_DIALECT
 from quetzalwall.platform.settings import (
     FROM_TREE,
-    format_places,
+    format_addresses,
     log_ignored,
     read_settings,
 )
@@ -107,13 +107,13 @@
             settings.address,
             settings.link_mbps,
         )
-        from_tree = settings.configuration == FROM_TREE
+        from_tree = settings.config_source == FROM_TREE
         dialect = PRODUCT_DIALECT if from_tree else PLATFORM_DIALECT
         self.endpoints = create_endpoint_table(
             settings.domains, dialect.parse_response, now
         )
         self.endpoints.connection_limiter.max_open = max_endpoint_connections(
-            settings.connections
+            settings.descriptors
         )
         self.fleet = create_fleet(
             info, settings.peer_port, self.endpoints, now, rng.getrandbits(PROCESS_BITS)
@@ -182,7 +182,7 @@
             lambda: self.stopping,
             self.memory_budget,
         )
-        callers = max_connections(settings.memory_mb, settings.connections, "callers")
+        callers = max_connections(settings.memory_mb, settings.descriptors, "callers")
         self._servers = {
             "callers": create_front_server(listen.callers, application, callers),
             **create_interfaces(self),
@@ -215,9 +215,9 @@
             user=os.geteuid(),
             python=platform.python_version(),
             libraries=os.path.dirname(os.path.dirname(gevent.__file__)),
-            listening=format_places(listen),
+            listening=format_addresses(listen),
             memory_mb=self.settings.memory_mb,
-            connections=self.settings.connections,
+            connections=self.settings.descriptors,
         )
 
     def _open(self, name, address, start):
--- a/quetzalwall/process/front_interfaces.py
+++ b/quetzalwall/process/front_interfaces.py
@@ -12,10 +12,10 @@
 )
 from quetzalwall.logs import get_logger, log_event
 from quetzalwall.platform.headers import (
-    MOST_ADDRESSES,
+    MAX_LOOKUP_ADDRESSES,
     READY_PATH,
     lookup_body,
-    lookup_place,
+    parse_lookup_query,
 )
 from quetzalwall.process.resource_budget import max_connections
 from quetzalwall.process.status import instance_status
@@ -51,7 +51,7 @@
     }
     servers = {}
     for name, handler in handlers.items():
-        connections = max_connections(settings.memory_mb, settings.connections, name)
+        connections = max_connections(settings.memory_mb, settings.descriptors, name)
         limits = HttpLimits(max_connections=connections)
         address = getattr(settings.listen, name)
         servers[name] = create_server(*address, partial(handler, front), limits)
@@ -88,7 +88,7 @@
 
 
 def _look_up_host(front, environ, start_response):
-    _, region, domain = lookup_place(environ)
+    _, region, domain = parse_lookup_query(environ)
     chosen = _select_instances(front, region)
     front.metrics.record_lookup()
     log_event(
@@ -118,7 +118,7 @@
     region = query.get("region", [front.settings.region])[0]
     compiled = front.cluster_state.tree.compiled
     live = front.fleet.live()
-    chosen = order_instances(live, region, caller, compiled.lookup_answers)
+    chosen = order_instances(live, region, caller, compiled.max_lookup_instances)
     front.metrics.record_lookup()
     log_event(
         LOG,
@@ -158,8 +158,8 @@
     live = front.fleet.live()
     candidates = [info for info in live if info.region == region] or live
     chosen = sample_by_bandwidth(candidates, LOOKUP_INSTANCES, front.rng)
-    if len(chosen) > MOST_ADDRESSES:
-        return front.rng.sample(chosen, MOST_ADDRESSES)
+    if len(chosen) > MAX_LOOKUP_ADDRESSES:
+        return front.rng.sample(chosen, MAX_LOOKUP_ADDRESSES)
     return chosen
 
 
--- a/quetzalwall/process/limits/traffic_shifts.py
+++ b/quetzalwall/process/limits/traffic_shifts.py
@@ -195,7 +195,7 @@
             states = [
                 state
                 for state in self._endpoints.routable_endpoints(shift.service)
-                if state.region == shift.to
+                if state.region == shift.destination
             ]
             slots = sum(state.entry.slots for state in states)
             used = sum(min(state.in_flight(), state.entry.slots) for state in states)
--- a/quetzalwall/process/storage/settings_admin.py
+++ b/quetzalwall/process/storage/settings_admin.py
@@ -82,7 +82,7 @@
                 body["base"],
                 body["author"],
                 wall=self._clock.wall,
-                pause=gevent.sleep,
+                sleep=gevent.sleep,
             )
         except SettingsConflict as exc:
             return 409, _conflict_body(exc)
--- a/quetzalwall/request/request_server.py
+++ b/quetzalwall/request/request_server.py
@@ -174,7 +174,7 @@
             raise BadRequest(404, f"no route for {host}{path[:80]}")
         reservation = environ["quetzalwall.hold"]
         try:
-            body = read_body(environ, cfg.limits.body_bytes, reservation)
+            body = read_body(environ, cfg.limits.max_body_bytes, reservation)
         except NoMemory:
             return self._reject(
                 metadata, route.name, "admission", "no memory", NO_MEMORY_RETRY_S
@@ -255,7 +255,7 @@
         shift = self._limits.shifts.choose_shift(req.service, now)
         choice = Rejection("no shift", 0.0)
         if shift is not None:
-            choice = self._chooser.choose(*ctx, shift.shift.to, stop_s)
+            choice = self._chooser.choose(*ctx, shift.shift.destination, stop_s)
         if isinstance(choice, Rejection):
             shift = None
             choice = self._chooser.choose(*ctx, None, stop_s)
--- a/quetzalwall/version/compile.py
+++ b/quetzalwall/version/compile.py
@@ -34,7 +34,7 @@
         Region of each failure domain.
     lookup_ttl_s : float
         Seconds for which callers may keep a look-up's answer.
-    lookup_answers : int
+    max_lookup_instances : int
         Instances that it names at most.
     """
 
@@ -42,7 +42,7 @@
     entries: list
     domains: dict
     lookup_ttl_s: float
-    lookup_answers: int
+    max_lookup_instances: int
 
 
 def compile_tree(version, tree):
@@ -68,7 +68,9 @@
     shifts = tuple(_shift(name, spec) for name, spec in merged["shifts"].items())
     longest = [spec.get("max_body_bytes") for spec in merged["services"].values()]
     limits = Limits(
-        body_bytes=max([size for size in longest if size], default=Limits().body_bytes)
+        max_body_bytes=max(
+            [size for size in longest if size], default=Limits().max_body_bytes
+        )
     )
     domains = {
         domain: region
@@ -123,9 +125,9 @@
             port=endpoint["port"],
             domain=endpoint["domain"],
             slots=endpoint["slots"],
-            leaving=name in leaving,
+            draining=name in leaving,
             cold_s=0.0,
-            born=0,
+            incarnation=0,
         )
         for name, endpoint in spec["endpoints"].items()
     ]
@@ -136,7 +138,7 @@
         name=name,
         service=spec["service"],
         source=spec["from"],
-        to=spec["to"],
+        destination=spec["to"],
         fraction=spec["fraction"],
         cap=spec["cap_requests"],
         interval_s=spec["interval_s"],
--- a/quetzalwall/version/model.py
+++ b/quetzalwall/version/model.py
@@ -19,13 +19,13 @@
 
     Attributes
     ----------
-    body_bytes : int
+    max_body_bytes : int
         Longest body.
     idle_s : float
         Seconds for which a caller may leave a connection idle.
     """
 
-    body_bytes: int = 64 * 1024 * 1024
+    max_body_bytes: int = 64 * 1024 * 1024
     idle_s: float = 15.0
 
 
@@ -141,7 +141,7 @@
     ----------
     name, service : str
         Name of the shift, and the service whose requests it moves.
-    source, to : str
+    source, destination : str
         Regions; requests that arrive at instances of the first are moved.
     fraction : float
         Part of those requests that it moves in the end.
@@ -156,7 +156,7 @@
     name: str
     service: str
     source: str
-    to: str
+    destination: str
     fraction: float
     cap: int
     interval_s: float
@@ -204,11 +204,11 @@
         Failure domain.
     slots : int
         Requests that it runs at once.
-    leaving : bool
+    draining : bool
         Whether it is about to stop.
     cold_s : float
         Seconds for which it remains cold.
-    born : int
+    incarnation : int
         Milliseconds since the epoch at its start; 0 if not said.
     """
 
@@ -218,9 +218,9 @@
     port: int
     domain: str
     slots: int
-    leaving: bool
+    draining: bool
     cold_s: float
-    born: int
+    incarnation: int
 
 
 def find_route(cfg, host, path, method=""):
--- a/quetzalwall/version/settings_store.py
+++ b/quetzalwall/version/settings_store.py
@@ -45,7 +45,7 @@
     return table.read([HEAD_KEY])[HEAD_KEY].value or EMPTY_HEAD
 
 
-def put_subtree(table, team, subtree, base, author, wall=time.time, pause=time.sleep):
+def put_subtree(table, team, subtree, base, author, wall=time.time, sleep=time.sleep):
     """Replace a team's subtree.
 
     Parameters
@@ -62,7 +62,7 @@
         Recorded in the history.
     wall : callable, default=time.time
         Seconds since the epoch, recorded in the history.
-    pause : callable, default=time.sleep
+    sleep : callable, default=time.sleep
         Waits between tries.
 
     Returns
@@ -97,7 +97,7 @@
                 return change["version"]
         except StoreUnavailable as exc:
             last_error = exc
-            pause(RETRY_PAUSE_S)
+            sleep(RETRY_PAUSE_S)
     raise StoreUnavailable(
         f"change {token} may have been accepted: {last_error or 'too many changes'}",
         step="put settings",
--- a/quetzalwall/version/tests/test_settings.py
+++ b/quetzalwall/version/tests/test_settings.py
@@ -100,7 +100,7 @@
 
 
 def put(table, team, subtree, base):
-    return put_subtree(table, team, subtree, base, "me", pause=lambda s: None)
+    return put_subtree(table, team, subtree, base, "me", sleep=lambda s: None)
 
 
 @with_store
@@ -162,7 +162,7 @@
     tree["desk"]["leaving"] = {"endpoints": ["west-ep2"]}
     compiled = compile_tree(3, tree)
     assert compiled.cfg.services["desk"].region_limits == (("east", 5),)
-    assert [e.name for e in compiled.entries if e.leaving] == ["west-ep2"]
+    assert [e.name for e in compiled.entries if e.draining] == ["west-ep2"]
     assert compiled.domains["east-b"] == "east"
     assert find_route(compiled.cfg, "desk", "/bookings/1", "POST").idempotent is False
     assert find_route(compiled.cfg, "desk", "/x", "GET").prefix == "/"
