--- a/quetzalwall/process/cluster/endpoint_table.py
+++ b/quetzalwall/process/cluster/endpoint_table.py
@@ -32,8 +32,6 @@
 
     Attributes
     ----------
-    domains : dict of str to str
-        Region of each failure domain.
     evacuated : set of str
         Failure domains whose endpoints get no requests.
     connection_limiter : ConnectionLimiter
@@ -288,8 +286,7 @@
         domains : set of str
             Failure domains.
         cold_s : callable
-            Takes the name of a service; returns the seconds for which its endpoints are
-            cold after an evacuation.
+            Takes a service's name; returns the cold period of its endpoints in seconds.
         """
         if domains == self.evacuated:
             return
--- a/quetzalwall/process/cluster/tests/test_endpoint_table.py
+++ b/quetzalwall/process/cluster/tests/test_endpoint_table.py
@@ -73,7 +73,7 @@
             address = "127.0.0.1", rng.randrange(1, 5)
             fields = domain, 3, rng.random() < 0.2, 0.0, rng.randrange(3)
             usable = {state.name: state.usable() for state in table}
-            born = {state.name: state.entry.incarnation for state in table}
+            incarnations = {state.name: state.entry.incarnation for state in table}
             at_address = {
                 s.name for s in table if (s.entry.host, s.entry.port) == address
             }
@@ -81,7 +81,7 @@
             table.put(EndpointEntry(name, service, *address, *fields))
             if table.get(name) is not previous:
                 for other in at_address - {name}:
-                    if born[other] <= fields[-1]:
+                    if incarnations[other] <= fields[-1]:
                         usable[other] = False
                     assert table.get(other).usable() == usable[other], step
         for service in ("desk", "shop"):
--- a/quetzalwall/process/cluster/tests/test_large_registry.py
+++ b/quetzalwall/process/cluster/tests/test_large_registry.py
@@ -35,9 +35,11 @@
     return create_cluster_state(endpoints, fleet)
 
 
-def registered_rows(count, version, born):
+def registered_rows(count, version, incarnation):
     bodies = {
-        f"ep-{n}": msgspec.json.encode(entry_body((f"10.0.0.{n % 250}", n), born=born))
+        f"ep-{n}": msgspec.json.encode(
+            entry_body((f"10.0.0.{n % 250}", n), born=incarnation)
+        )
         for n in range(1, count + 1)
     }
     return Rows([RowChange(k, v, version) for k, v in bodies.items()], version)
