--- a/quetzalwall/process/front_interfaces.py
+++ b/quetzalwall/process/front_interfaces.py
@@ -1,4 +1,4 @@
-"""HTTP interfaces besides that for callers: readiness, look-ups, settings, metrics."""
+"""HTTP interfaces for readiness, look-ups, settings, peers and metrics."""
 
 from functools import partial
 from urllib.parse import parse_qs
--- a/quetzalwall/process/self_watch.py
+++ b/quetzalwall/process/self_watch.py
@@ -1,4 +1,4 @@
-"""Monitoring of the own process: its memory and the lag of its event loop."""
+"""Monitoring of this process: its memory and the lag of its event loop."""
 
 import os
 
@@ -15,7 +15,7 @@
 
 
 class SelfWatch:
-    """Monitors the own process.
+    """Monitors the memory and the event loop of this process.
 
     Parameters
     ----------
@@ -94,7 +94,7 @@
 
 
 def create_self_watch(memory_mb, usage, monotonic):
-    """Return a monitor of the own process.
+    """Return a monitor of this process.
 
     Parameters
     ----------
--- a/quetzalwall/process/tests/test_draining_endpoints.py
+++ b/quetzalwall/process/tests/test_draining_endpoints.py
@@ -20,8 +20,8 @@
         site.store.put("op", "evacuate/north-a", b"{}")
 
 
-# DRAIN: a request that was waiting for a connection when its endpoint began to drain
-# was still sent there, up to 0.6 s later.
+# DRAIN: a request that was waiting for a connection when its endpoint was drained,
+# removed or evacuated was still sent there, up to 0.6 s later.
 @params(("draining", LOOK), ("draining", BOOK), ("removed", BOOK), ("evacuated", BOOK))
 def test_a_request_that_waits_for_a_connection_is_not_sent_to_a_draining_endpoint(
     how, request
--- a/quetzalwall/process/tests/test_front.py
+++ b/quetzalwall/process/tests/test_front.py
@@ -1,3 +1,5 @@
+"""Instances on the platform, with a store and endpoints, end to end."""
+
 import time
 from contextlib import ExitStack
 
--- a/quetzalwall/process/tests/test_golden_sessions.py
+++ b/quetzalwall/process/tests/test_golden_sessions.py
@@ -140,11 +140,11 @@
 
 @golden
 def test_drain(session):
-    def leave(subtree):
+    def drain(subtree):
         subtree["leaving"] = {"endpoints": ["east-ep1", "west-ep1"]}
 
     session.send("GET", "/status/1")
-    session.put(leave, base=1)
+    session.put(drain, base=1)
     session.deployment.wait_for_version(2)
     session.comment("the only endpoints are drained")
     session.send("GET", "/status/2")
--- a/quetzalwall/process/tests/test_listeners.py
+++ b/quetzalwall/process/tests/test_listeners.py
@@ -25,7 +25,7 @@
 CALLERS, HEALTH, METRICS = 0, 1, 4
 
 
-# A metrics port in use by another process ended the instance, and each restarted one.
+# A metrics port in use by another process ended the instance, and each restart of it.
 def test_an_instance_serves_while_the_port_of_its_metrics_is_in_use():
     with running_site() as site, ExitStack() as stack:
         address = own_address(1)
--- a/quetzalwall/process/tests/test_planned_stop.py
+++ b/quetzalwall/process/tests/test_planned_stop.py
@@ -18,11 +18,11 @@
 # that are not idempotent need more.
 KNOWN_AFTER = {"GET": 20, "POST": 100}
 SLOTS = 140  # enough for all requests without queueing
-AT_ONCE_S = 0.3
+MAX_REJECTION_S = 0.3
 LOOK, BOOK = ("GET", "/look/1"), ("POST", "/book/1")
 
 
-def put_routes(site, slo="500ms"):
+def configure_routes(site, slo="500ms"):
     """Configure routes whose time-out far exceeds the grace period of 2 s."""
     rows = [
         route_row("look", "/look/", timeout="8s"),
@@ -39,7 +39,7 @@
     wait_for(lambda: sum(state.entry.slots for state in front.endpoints) == slots)
 
 
-def learn(site, method, target, work_s, count=None):
+def learn_durations(site, method, target, work_s, count=None):
     """Let the instance learn how long the requests of a route take."""
     for endpoint in site.endpoints:
         endpoint.behaviour["slow_s"] = work_s
@@ -106,13 +106,13 @@
     method, target
 ):
     with running_site(endpoints=1, slots=SLOTS) as site:
-        put_routes(site)
-        learn(site, method, target, 1.4)
+        configure_routes(site)
+        learn_durations(site, method, target, 1.4)
         before = count_arrivals(site)
         stop = begin_stop(site, 0.6)
         start = time.monotonic()
         assert_rejected(*site.get(target, 0, method))
-        assert time.monotonic() - start < AT_ONCE_S
+        assert time.monotonic() - start < MAX_REJECTION_S
         assert count_arrivals(site) == before
         stop.join()
 
@@ -120,9 +120,9 @@
 # LOST: the same on a connection that the caller had kept open.
 def test_a_late_request_on_an_open_connection_is_rejected_and_the_connection_closed():
     with running_site(endpoints=1, slots=SLOTS) as site:
-        put_routes(site)
+        configure_routes(site)
         sock = connect(site)
-        learn(site, *BOOK, 1.4)
+        learn_durations(site, *BOOK, 1.4)
         before = count_arrivals(site)
         stop = begin_stop(site, 0.6)
         send(sock, *BOOK)
@@ -140,7 +140,7 @@
 @params(LOOK, BOOK)
 def test_a_late_request_of_unknown_duration_is_rejected(method, target):
     with running_site(endpoints=1) as site:
-        put_routes(site, slo="1s")
+        configure_routes(site, slo="1s")
         site.endpoints[0].behaviour["slow_s"] = 1.7
         before = count_arrivals(site)
         stop = begin_stop(site, 0.5)
@@ -152,9 +152,9 @@
 # LOST: a few responses do not show the rare requests that take many times as long.
 def test_a_late_request_that_is_not_idempotent_needs_more_samples_to_count_as_quick():
     with running_site(endpoints=1, slots=SLOTS) as site:
-        put_routes(site)
-        learn(site, *BOOK, 0.1, 20)
-        learn(site, *LOOK, 0.1, 20)
+        configure_routes(site)
+        learn_durations(site, *BOOK, 0.1, 20)
+        learn_durations(site, *LOOK, 0.1, 20)
         site.endpoints[0].behaviour["slow_s"] = 1.7
         before = count_arrivals(site)
         stop = begin_stop(site, 0.5)
@@ -170,7 +170,7 @@
 @params(LOOK, BOOK)
 def test_a_late_request_whose_deadline_is_in_the_grace_period_is_served(method, target):
     with running_site(endpoints=1) as site:
-        put_routes(site)
+        configure_routes(site)
         site.endpoints[0].behaviour["slow_s"] = 0.4
         stop = begin_stop(site, 0.4)
         status, headers, _ = site.get(target, 0, method, **{DEADLINE: "1000"})
@@ -182,9 +182,9 @@
 # served, and the endpoint gets no more time than the instance has.
 def test_a_late_request_known_to_be_quick_is_served_in_the_remaining_time():
     with running_site(endpoints=1, slots=SLOTS) as site:
-        put_routes(site)
+        configure_routes(site)
         sock = connect(site)
-        learn(site, *BOOK, 0.2)
+        learn_durations(site, *BOOK, 0.2)
         stop = begin_stop(site, 0.5)
         assert site.get("/book/2", 0, "POST")[0] == 200
         send(sock, *BOOK)
@@ -198,8 +198,8 @@
 # LOST: a request whose body was still arriving at SIGTERM was forwarded however late.
 def test_a_request_that_was_being_read_at_the_stop_is_rejected_if_it_does_not_fit():
     with running_site(endpoints=1, slots=SLOTS) as site:
-        put_routes(site)
-        learn(site, *BOOK, 1.4)
+        configure_routes(site)
+        learn_durations(site, *BOOK, 1.4)
         before = count_arrivals(site)
         sock = gevent.socket.create_connection(
             (site.fronts[0].settings.address, site.ports[0])
@@ -220,8 +220,8 @@
 # LOST: a request that was waiting for a connection at SIGTERM was sent however late.
 def test_a_request_that_waited_for_a_connection_is_not_sent_if_it_does_not_fit():
     with running_site(endpoints=1, slots=SLOTS) as site:
-        put_routes(site)
-        learn(site, *BOOK, 1.4)
+        configure_routes(site)
+        learn_durations(site, *BOOK, 1.4)
         before = count_arrivals(site)
         client = site.fronts[0].endpoints.get("ep-0").client
         client.close()
@@ -243,10 +243,10 @@
 # LOST: the uncertainty of a queueing delay counted in favour of accepting a request.
 def test_a_late_request_behind_others_at_a_full_endpoint_is_rejected():
     with running_site(endpoints=1, slots=20, queue=60) as site:
-        put_routes(site, slo="5s")
+        configure_routes(site, slo="5s")
         for _ in range(5):
-            learn(site, *BOOK, 0.7, 16)
-        learn(site, *BOOK, 0.7, 20)
+            learn_durations(site, *BOOK, 0.7, 16)
+        learn_durations(site, *BOOK, 0.7, 20)
         before = count_arrivals(site)
         ahead = [gevent.spawn(site.get, "/book/2", 0, "POST") for _ in range(40)]
         wait_for(lambda: count_arrivals(site) == before + 40)
@@ -262,8 +262,8 @@
 # LOST: a retry of a request in flight was begun however late, and cut off.
 def test_a_retry_that_does_not_fit_into_the_grace_period_is_not_begun():
     with running_site(endpoints=2, slots=SLOTS) as site:
-        put_routes(site)
-        learn(site, *LOOK, 1.0)
+        configure_routes(site)
+        learn_durations(site, *LOOK, 1.0)
         before = count_arrivals(site)
         for endpoint in site.endpoints:
             endpoint.behaviour["lose"] = True
@@ -280,8 +280,8 @@
 # LOST: the same for a request that is not idempotent, shed by its first endpoint.
 def test_a_late_retry_of_a_request_that_has_not_run_is_left_to_the_caller():
     with running_site(endpoints=2, slots=SLOTS) as site:
-        put_routes(site)
-        learn(site, *BOOK, 1.0)
+        configure_routes(site)
+        learn_durations(site, *BOOK, 1.0)
         before = count_arrivals(site)
         for endpoint in site.endpoints:
             endpoint.behaviour["shed_after_s"] = 1.0
--- a/quetzalwall/process/tests/test_self_watch.py
+++ b/quetzalwall/process/tests/test_self_watch.py
@@ -37,5 +37,5 @@
     ]
 
 
-def test_the_memory_of_the_own_process_is_read():
+def test_the_memory_of_this_process_is_read():
     assert 10_000_000 < self_watch.resident_bytes() < 2_000_000_000
--- a/quetzalwall/tests/platform_fixtures.py
+++ b/quetzalwall/tests/platform_fixtures.py
@@ -141,7 +141,7 @@
 
 
 def free_ports(count):
-    """Return ports that are free at the own addresses."""
+    """Return ports that are free at the addresses of `own_address`."""
     socks = [socket.socket() for _ in range(count)]
     try:
         for sock in socks:
