--- a/benchmarks/cases/bookings.py
+++ b/benchmarks/cases/bookings.py
@@ -106,7 +106,7 @@
 
 
 def _send(deployment, name, key):
-    host, port = deployment.place(name, "callers").split(":")
+    host, port = deployment.listen_address(name, "callers").split(":")
     client = create_client(host, int(port), name, connect_timeout_s=0.5)
     headers = {"Idempotency-Key": key}
     try:
--- a/benchmarks/cases/capacity.py
+++ b/benchmarks/cases/capacity.py
@@ -131,7 +131,7 @@
     late = set(names)
     while late and time.monotonic() < began + 30:
         for name in sorted(late):
-            place = deployment.place(name)
+            place = deployment.listen_address(name)
             status = deployment.call(place, "GET", "/status").body
             if status["version_in_force"] < 2:
                 break
--- a/benchmarks/cases/forwarding.py
+++ b/benchmarks/cases/forwarding.py
@@ -130,5 +130,5 @@
 
 
 def _place(deployment):
-    host, port = deployment.place("lowell-1", "callers").split(":")
+    host, port = deployment.listen_address("lowell-1", "callers").split(":")
     return host, int(port)
--- a/benchmarks/cases/lookups.py
+++ b/benchmarks/cases/lookups.py
@@ -100,7 +100,7 @@
 
 
 def _client(deployment):
-    host, port = deployment.place("north-1").split(":")
+    host, port = deployment.listen_address("north-1").split(":")
     return create_client(host, int(port), "north-1", size=1)
 
 
--- a/demo/deployment.py
+++ b/demo/deployment.py
@@ -87,12 +87,12 @@
             if other in self._processes and self._processes[other].poll() is None
         }
         self._wait(
-            self.place(name),
+            self.listen_address(name),
             "/status",
             lambda body: body["version_in_force"] > 0 and running <= set(body["live"]),
         )
 
-    def place(self, name, part="lookup"):
+    def listen_address(self, name, part="lookup"):
         """Return an address of an instance.
 
         Parameters
@@ -152,12 +152,12 @@
         """
         return self._processes[name].pid
 
-    def call(self, place, method, target, body=None):
+    def call(self, listen_address, method, target, body=None):
         """Call a process with JSON.
 
         Parameters
         ----------
-        place : str
+        listen_address : str
             Address and port.
         method, target : str
             HTTP method and path.
@@ -168,8 +168,8 @@
         -------
         JsonResponse
         """
-        host, port = place.split(":")
-        client = create_json_client(host, int(port), place, timeout_s=5.0)
+        host, port = listen_address.split(":")
+        client = create_json_client(host, int(port), listen_address, timeout_s=5.0)
         try:
             return client.call(method, target, body)
         finally:
@@ -206,16 +206,16 @@
         )
         log.close()
 
-    def _wait(self, place, target, ready):
+    def _wait(self, listen_address, target, ready):
         until = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < until:
             try:
-                if ready(self.call(place, "GET", target).body):
+                if ready(self.call(listen_address, "GET", target).body):
                     return
             except PeerError:
                 pass
             time.sleep(0.05)
-        raise TimeoutError(f"{place} is not ready after {START_TIMEOUT_S} s")
+        raise TimeoutError(f"{listen_address} is not ready after {START_TIMEOUT_S} s")
 
 
 def create_deployment(example, logs):
--- a/demo/run.py
+++ b/demo/run.py
@@ -121,7 +121,7 @@
 
 def _run_steps(deployment, began):
     names = list(deployment.instances)
-    caller = Caller(deployment, deployment.place(FIRST))
+    caller = Caller(deployment, deployment.listen_address(FIRST))
     rows = [_row("7 instances ready", 0, Counter(), began, failed=False)]
 
     def burst(step, count, send, expected):
@@ -179,9 +179,9 @@
 def _moved(deployment):
     moved = 0
     for name in deployment.instances:
-        shifts = deployment.call(deployment.place(name), "GET", "/status").body[
-            "shifts"
-        ]
+        shifts = deployment.call(
+            deployment.listen_address(name), "GET", "/status"
+        ).body["shifts"]
         moved += shifts.get("to-south", {}).get("moved", 0)
     return moved
 
@@ -234,7 +234,7 @@
 
 
 def _operator(deployment, *arguments):
-    instance = deployment.place(FIRST)
+    instance = deployment.listen_address(FIRST)
     credential = deployment.logs / "desk.credential"
     credential.write_text("example-desk")
     options = ["--instance", instance, "--credential-file", str(credential)]
--- a/demo/tests/test_faults.py
+++ b/demo/tests/test_faults.py
@@ -34,7 +34,7 @@
 
 def send(deployment, name, service, method, path, key=None, timeout_s=6.0):
     """Return the outcome as a caller sees it; "lost" if it saw none."""
-    host, port = deployment.place(name, "callers").split(":")
+    host, port = deployment.listen_address(name, "callers").split(":")
     client = create_client(host, int(port), name, connect_timeout_s=0.5)
     headers = {"Idempotency-Key": key} if key else {}
     try:
@@ -81,7 +81,7 @@
 
 def in_force(deployment, name):
     try:
-        place = deployment.place(name)
+        place = deployment.listen_address(name)
         return deployment.call(place, "GET", "/status").body["version_in_force"]
     except PeerError:
         return 0
@@ -154,7 +154,7 @@
         desk = json.loads(json.dumps(deployment.tree["desk"]))
         desk["services"]["order-desk"]["region_limits"] = {"north": limit}
         body = {"team": "desk", "subtree": desk, "base": 1, "author": "test"}
-        host, port = deployment.place("north-1").split(":")
+        host, port = deployment.listen_address("north-1").split(":")
         client = create_json_client(host, int(port), "north-1", timeout_s=5.0)
         headers = {"Authorization": "Bearer example-desk"}
         assert client.call("PUT", "/settings", body, headers=headers).status == 200
--- a/quetzalwall/process/tests/test_advertised_limits.py
+++ b/quetzalwall/process/tests/test_advertised_limits.py
@@ -45,7 +45,7 @@
         start = time.monotonic()
         responses = surge(site, 12.0, 40.0)
         for endpoint, limit in limits.items():
-            peak = max_in_window(endpoint.times, start + STABLE_S)
+            peak = max_in_window(endpoint.arrival_times, start + STABLE_S)
             if limit:
                 assert 0 < peak <= TOLERANCE * WINDOW_S * float(limit) + EXTRA
             else:
--- a/quetzalwall/process/tests/test_configuration_delay.py
+++ b/quetzalwall/process/tests/test_configuration_delay.py
@@ -97,7 +97,7 @@
             proxy = create_proxy(site.store.server.address, own_address(number))
             proxy.start()
             stack.callback(proxy.close)
-            address = f"{proxy.place[0]}:{proxy.place[1]}"
+            address = f"{proxy.address[0]}:{proxy.address[1]}"
             fronts.append(start_front(stack, site, number, store=address))
             proxies.append(proxy)
         for front in fronts:
@@ -113,7 +113,7 @@
         site.change()
         gevent.sleep(0.05)  # between two calls of each instance
         for proxy in site.proxies:
-            proxy.silence()
+            proxy.stall_connections()
         fault_end = time.monotonic()
         site.change_for(STABLE_S)
         assert not site.late_versions(fault_end)
@@ -129,7 +129,7 @@
             proxy.fault = "silent"
         gevent.sleep(0.3)
         for proxy in site.proxies:
-            proxy.silence()
+            proxy.stall_connections()
             proxy.fault = ""
         fault_end = time.monotonic()
         site.change_for(STABLE_S)
@@ -158,6 +158,6 @@
         readers = [n for n, f in enumerate(site.fronts) if follows_store(f.fleet)]
         assert len(readers) < len(site.fronts)
         for number in readers:
-            site.proxies[number].silence()
+            site.proxies[number].stall_connections()
         site.change_for(MAX_DELAY_S)
         assert not site.late_versions(numbers=set(range(9)) - set(readers))
--- a/quetzalwall/process/tests/test_descriptor_limits.py
+++ b/quetzalwall/process/tests/test_descriptor_limits.py
@@ -22,7 +22,7 @@
     wait_for,
 )
 from standins.metadata_store import create_metadata_store
-from standins.served_endpoint import create_served_endpoint
+from standins.platform_endpoint import create_platform_endpoint
 
 MEMORY_MB = 820.0
 DESCRIPTORS = 400
@@ -42,7 +42,7 @@
     store.start()
     stack.callback(store.close)
     endpoints = [
-        create_served_endpoint(f"ep-{n}", work_s=WORK_S) for n in range(ENDPOINTS)
+        create_platform_endpoint(f"ep-{n}", work_s=WORK_S) for n in range(ENDPOINTS)
     ]
     site = Site(store, endpoints, [], None)
     site.write_config(config_body())
--- a/quetzalwall/process/tests/test_front.py
+++ b/quetzalwall/process/tests/test_front.py
@@ -279,7 +279,7 @@
 
 def test_a_traffic_split_sends_requests_to_each_service_by_weight():
     with running_site() as site:
-        entry = entry_body(site.endpoints[1].place, service="spare")
+        entry = entry_body(site.endpoints[1].address, service="spare")
         site.store.put("servers", "ep-1", msgspec.json.encode(entry))
         split = [{"service": "desk", "weight": 3}, {"service": "spare", "weight": 1}]
         rows = [route_row("look", "/look/", split=split)]
--- a/quetzalwall/tests/platform_fixtures.py
+++ b/quetzalwall/tests/platform_fixtures.py
@@ -17,7 +17,7 @@
 from quetzalwall.process.front import create_front
 from quetzalwall.process.self_watch import resident_bytes
 from standins.metadata_store import create_metadata_store
-from standins.served_endpoint import create_served_endpoint
+from standins.platform_endpoint import create_platform_endpoint
 
 HOST = "shop.example"
 DOMAINS = {"north-a": "north", "north-b": "north", "south-a": "south"}
@@ -90,7 +90,7 @@
 
 
 def entry_body(place, service="desk", state="ready", domain="north-a", **fields):
-    """Return the entry of an endpoint in the store; ``place`` is its address."""
+    """Return the entry of an endpoint in the store; ``address`` is its address."""
     body = {
         "service": service,
         "address": f"{place[0]}:{place[1]}",
@@ -165,7 +165,7 @@
         self.store.put("op", "config", msgspec.json.encode(body))
 
     def register(self, endpoint, **fields):
-        body = entry_body(endpoint.place, **fields)
+        body = entry_body(endpoint.address, **fields)
         self.store.put("servers", endpoint.name, msgspec.json.encode(body))
 
     def get(self, target, front=0, method="GET", body=b"", **headers):
@@ -211,7 +211,7 @@
         store.start()
         stack.callback(store.close)
         standins = [
-            create_served_endpoint(f"ep-{n}", work_s=work_s, **options)
+            create_platform_endpoint(f"ep-{n}", work_s=work_s, **options)
             for n in range(endpoints)
         ]
         site = Site(store, standins, [], ports)
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -72,7 +72,7 @@
     ----------
     attempts : sequence of Attempt
         All requests of callers.
-    endpoints : sequence of ServedEndpoint
+    endpoints : sequence of PlatformEndpoint
         All endpoints that ever were.
     calm : Calm
         Moments from which a change has to be in force.
@@ -207,7 +207,9 @@
         for begin, end, per_s in endpoint.limits:
             times = [
                 at
-                for at, (name, _) in zip(endpoint.times, endpoint.arrivals, strict=True)
+                for at, (name, _) in zip(
+                    endpoint.arrival_times, endpoint.arrivals, strict=True
+                )
                 if begin + STABLE_S <= at <= end
                 and name in sent
                 and not _was_troubled(sent[name], calm)
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -24,7 +24,7 @@
 )
 from soak.proxy import create_proxy
 from standins.metadata_store import create_metadata_store
-from standins.served_endpoint import create_served_endpoint
+from standins.platform_endpoint import create_platform_endpoint
 
 __all__ = ["GRACE_S", "MEMORY_MB", "Instance", "World"]
 
@@ -54,7 +54,7 @@
         seeds = [f"{own_address(n)}:{world.ports[2]}" for n in range(3)]
         body = settings_body(
             self.address,
-            self.store.place,
+            self.store.address,
             world.ports,
             f"front-{number}",
             self.domain,
@@ -249,12 +249,12 @@
         """
         self._added += 1
         name = f"ep-{self._added}"
-        endpoint = create_served_endpoint(name, slots=6, queue=18, work_s=0.03)
+        endpoint = create_platform_endpoint(name, slots=6, queue=18, work_s=0.03)
         endpoint.start()
         self.stack.callback(endpoint.close)
         self.endpoints[name] = endpoint
         domain = DOMAINS[self._added % 3]
-        body = entry_body(endpoint.place, domain=domain, coldLeft=cold)
+        body = entry_body(endpoint.address, domain=domain, coldLeft=cold)
         self.store.put("servers", name, msgspec.json.encode(body))
         return endpoint
 
@@ -267,6 +267,6 @@
             The endpoint.
         """
         endpoint = self.endpoints.pop(name)
-        body = entry_body(endpoint.place, state="draining")
+        body = entry_body(endpoint.address, state="draining")
         self.store.put("servers", name, msgspec.json.encode(body))
         self.left[name] = endpoint
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -33,7 +33,7 @@
         self.server = gevent.server.StreamServer((address, 0), self._serve)
 
     @property
-    def place(self):
+    def address(self):
         """IP number and port."""
         return self.server.address
 
@@ -52,7 +52,7 @@
             for sock in pair:
                 sock.close()
 
-    def silence(self):
+    def stall_connections(self):
         """Let nothing pass on the open connections any more; new ones work."""
         self._silenced |= self._pairs
 
--- a/soak/run.py
+++ b/soak/run.py
@@ -251,7 +251,7 @@
         endpoint.limits.append((began, time.monotonic(), LIMIT_PER_S))
 
     def _silence(self, instance, endpoint, span_s):
-        instance.store.silence()
+        instance.store.stall_connections()
 
     def _configure(self, *_):
         version = self.world.configure()
@@ -267,7 +267,7 @@
         endpoint = self.world.add_endpoint("2s")
         began = time.monotonic()
         gevent.sleep(2.0)
-        times = [at for at in endpoint.times if at < began + 2.0]
+        times = [at for at in endpoint.arrival_times if at < began + 2.0]
         most = max((sum(a <= t < a + 1 for t in times) for a in times), default=0)
         if most > COLD_PER_S:
             self.breaches.append(Breach("cold", f"{endpoint.name}: {most} in a second"))
--- a/standins/served_endpoint.py
+++ b/standins/platform_endpoint.py
@@ -21,7 +21,7 @@
 import gevent.server
 import gevent.socket
 
-__all__ = ["ServedEndpoint", "create_served_endpoint"]
+__all__ = ["PlatformEndpoint", "create_platform_endpoint"]
 
 PREFIX = "X-Quetzalwall-"
 BLOCK_BYTES = 64 * 1024
@@ -29,7 +29,7 @@
 HEADER = re.compile(r"^([^:]+):\s*(.*)$")
 
 
-class ServedEndpoint:
+class PlatformEndpoint:
     """One endpoint.
 
     Parameters
@@ -55,7 +55,7 @@
         self.runs = {}
         self.answered = set()
         self.arrivals = []
-        self.times = []
+        self.arrival_times = []
         self.left_at = None
         self.limits = []
         self.cancelled = 0
@@ -65,7 +65,7 @@
         self.server = gevent.server.StreamServer((address, 0), self._serve)
 
     @property
-    def place(self):
+    def address(self):
         """IP number and port."""
         return self.server.address
 
@@ -102,7 +102,7 @@
         request_id = headers.get(f"{PREFIX}Request-Id".lower(), "")
         expected = headers.get(f"{PREFIX}Expect-Instance".lower(), self.name)
         self.arrivals.append((request_id, headers))
-        self.times.append(time.monotonic())
+        self.arrival_times.append(time.monotonic())
         if self.behaviour.get("early"):
             _answer(sock, 503, b"", request_id, not_run=True)
             reader.read(length)
@@ -198,7 +198,7 @@
     sock.sendall("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
 
-def create_served_endpoint(name, address="127.0.0.1", slots=3, queue=9, work_s=0.01):
+def create_platform_endpoint(name, address="127.0.0.1", slots=3, queue=9, work_s=0.01):
     """Return an endpoint that is not yet started.
 
     Parameters
@@ -216,6 +216,6 @@
 
     Returns
     -------
-    ServedEndpoint
+    PlatformEndpoint
     """
-    return ServedEndpoint(name, address, slots, queue, work_s)
+    return PlatformEndpoint(name, address, slots, queue, work_s)
