--- a/quetzalwall/platform/tests/test_odd_settings.py
+++ b/quetzalwall/platform/tests/test_odd_settings.py
@@ -80,7 +80,7 @@
     odd = {"link_mbps": "many", "bounds": {"grace": "long"}}
     with running_daemon(odd) as process:
         end = time.monotonic() + START_TIMEOUT_S
-        while not process.started() and process.process.poll() is None:
+        while not process.has_started() and process.process.poll() is None:
             assert time.monotonic() < end
             time.sleep(0.05)
         said = process.read_output()
--- a/quetzalwall/process/tests/test_connection_memory.py
+++ b/quetzalwall/process/tests/test_connection_memory.py
@@ -48,7 +48,7 @@
     try:
         settings = {"memory_mb": MEMORY_MB, "connections": DESCRIPTORS}
         with running_daemon(settings) as run:
-            wait_for(run.started, START_TIMEOUT_S)
+            wait_for(run.has_started, START_TIMEOUT_S)
             socks = open_callers(run.callers_address, CALLERS)
             try:
                 assert len(socks) > CALLERS / 10
--- a/quetzalwall/process/tests/test_daemon_process.py
+++ b/quetzalwall/process/tests/test_daemon_process.py
@@ -26,7 +26,7 @@
             file.write(SIGNALLING_LIBRARY.format(folder=folder, library=library))
         with running_daemon(PYTHONPATH=folder) as run:
             wait_for(
-                lambda: run.started() or run.process.poll() is not None,
+                lambda: run.has_started() or run.process.poll() is not None,
                 START_TIMEOUT_S,
             )
             gevent.sleep(0.1)
--- a/quetzalwall/process/tests/test_descriptor_limits.py
+++ b/quetzalwall/process/tests/test_descriptor_limits.py
@@ -82,7 +82,7 @@
         run = stack.enter_context(
             running_daemon(settings | {"store": f"{host}:{port}"})
         )
-        wait_for(run.started, START_TIMEOUT_S)
+        wait_for(run.has_started, START_TIMEOUT_S)
         until = time.monotonic() + BUSY_S
         callers = max_connections(MEMORY_MB, DESCRIPTORS, "callers")
         tasks = [
--- a/quetzalwall/process/tests/test_no_name_resolution.py
+++ b/quetzalwall/process/tests/test_no_name_resolution.py
@@ -66,7 +66,7 @@
 # to take turns.
 def test_a_daemon_runs_in_one_thread():
     with running_daemon() as run:
-        wait_for(run.started, START_TIMEOUT_S)
+        wait_for(run.has_started, START_TIMEOUT_S)
         wait_for(lambda: "event=lost" in run.read_output(), START_TIMEOUT_S)
         threads = os.listdir(f"/proc/{run.process.pid}/task")
     assert len(threads) == 1
--- a/quetzalwall/tests/daemon_fixture.py
+++ b/quetzalwall/tests/daemon_fixture.py
@@ -29,7 +29,7 @@
         self._output.seek(0)
         return self._output.read()
 
-    def started(self):
+    def has_started(self):
         return "event=started" in self.read_output()
 
 
