--- a/quetzalwall/platform/__init__.py
+++ b/quetzalwall/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the platform's services, one narrow module for each."""
+"""Interface to the platform: its store, headers, settings and deploy file."""
--- a/quetzalwall/platform/deploy.py
+++ b/quetzalwall/platform/deploy.py
@@ -1,4 +1,4 @@
-"""Check the deploy file that tells the platform how to build and start the system."""
+"""Check the deploy file, from which the platform builds and starts the system."""
 
 import tomllib
 
@@ -7,9 +7,9 @@
 
 __all__ = ["check_deploy"]
 
-SERVED = frozenset(("front", "control", "directory"))
+SERVED_KINDS = frozenset(("front", "control", "directory"))
 TOP_KEYS = frozenset(("build", "packages", "roles"))
-ROLE_KEYS = {
+ROLE_KEY_TYPES = {
     "run": str,
     "on": str,
     "share": float,
@@ -23,7 +23,7 @@
 
 
 def check_deploy(file):
-    """Return the faults of a deploy file.
+    """Return the faults in a deploy file.
 
     Parameters
     ----------
@@ -37,7 +37,7 @@
     Raises
     ------
     SettingsError
-        The file can't be read.
+        The file can't be read or is not TOML.
     """
     try:
         with open(file, "rb") as stream:
@@ -47,7 +47,7 @@
         raise SettingsError(str(fault), [fault]) from exc
     faults = []
     if not isinstance(body.get("build"), str):
-        faults.append(Fault(file, "/build", str(body.get("build")), "must be text"))
+        faults.append(Fault(file, "/build", str(body.get("build")), "must be a string"))
     packages = body.get("packages", [])
     if not isinstance(packages, list) or not all(
         isinstance(name, str) for name in packages
@@ -58,12 +58,15 @@
         faults.append(Fault(file, f"/{key}", str(body[key])[:80], "unknown key"))
     roles = body.get("roles")
     if not isinstance(roles, dict) or not roles:
-        return [*faults, Fault(file, "/roles", str(roles), "must name a role")]
+        return [
+            *faults,
+            Fault(file, "/roles", str(roles), "must define at least one role"),
+        ]
     for name, role in roles.items():
         faults += _role_faults(file, f"/roles/{name}", role)
     served = {kind for role in roles.values() for kind in role.get("serves", ())}
     for kind in sorted({"front", "directory"} - served):
-        faults.append(Fault(file, "/roles", kind, "no role serves it"))
+        faults.append(Fault(file, "/roles", kind, "not served by any role"))
     return faults
 
 
@@ -73,12 +76,14 @@
         if key not in role:
             faults.append(Fault(file, f"{path}/{key}", "", "is required"))
     for key, value in role.items():
-        if key not in ROLE_KEYS:
+        if key not in ROLE_KEY_TYPES:
             faults.append(Fault(file, f"{path}/{key}", str(value), "unknown key"))
-        elif not isinstance(value, ROLE_KEYS[key]):
-            kind = ROLE_KEYS[key].__name__
-            faults.append(Fault(file, f"{path}/{key}", str(value), f"must be {kind}"))
+        elif not isinstance(value, ROLE_KEY_TYPES[key]):
+            kind = ROLE_KEY_TYPES[key].__name__
+            faults.append(
+                Fault(file, f"{path}/{key}", str(value), f"must be of type {kind}")
+            )
     for kind in role.get("serves", ()):
-        if kind not in SERVED:
+        if kind not in SERVED_KINDS:
             faults.append(Fault(file, f"{path}/serves", str(kind), "unknown value"))
     return faults
--- a/quetzalwall/platform/fields.py
+++ b/quetzalwall/platform/fields.py
@@ -1,32 +1,32 @@
-"""Translate the fields that the platform has for an instance into its settings."""
+"""Translate the platform's fields for an instance into the project's settings."""
 
-__all__ = ["read_bound_table", "settings_from_fields"]
+__all__ = ["parse_bounds", "settings_from_fields"]
 
 
 def settings_from_fields(fields, metrics_port):
-    """Return the settings of an instance as its file holds them.
+    """Return the settings of an instance in the form of a settings file.
 
     Parameters
     ----------
     fields : dict
-        The platform's fields; any may be missing or null.
+        The platform's fields; each may be missing or null.
     metrics_port : int
-        Where the metrics are fetched.
+        Port on which the instance serves its metrics.
 
     Returns
     -------
     dict
-        Holds only what the platform has a value for.
+        Only the settings for which the platform has a value.
 
     Examples
     --------
     >>> settings_from_fields({"zone": "north-a", "zones": {"north-a": "north"}}, 9464)
     {'region': 'north', 'domain': 'north-a', 'domains': {'north-a': 'north'}}
     """
-    listen, limits = _table(fields, "listen"), _table(fields, "limits")
+    listen, limits = _get_dict(fields, "listen"), _get_dict(fields, "limits")
     address, domain = fields.get("ip"), fields.get("zone")
-    domains = _table(fields, "zones")
-    places = {
+    domains = _get_dict(fields, "zones")
+    addresses = {
         "callers": listen.get("front"),
         "health": listen.get("ready"),
         "peers": listen.get("control"),
@@ -39,10 +39,10 @@
         "region": fields.get("region") or domains.get(domain) or domain,
         "domain": domain,
         "domains": domains,
-        "listen": {name: place for name, place in places.items() if place} or None,
+        "listen": {name: text for name, text in addresses.items() if text} or None,
         "peer_ports": fields.get("portRange"),
         "seeds": fields.get("seeds"),
-        "store": _table(fields, "platform").get("address"),
+        "store": _get_dict(fields, "platform").get("address"),
         "link_mbps": limits.get("linkMbps"),
         "memory_mb": limits.get("memoryMb"),
         "connections": limits.get("maxFds"),
@@ -51,29 +51,30 @@
     return {name: value for name, value in settings.items() if value is not None}
 
 
-def _table(fields, name):
+def _get_dict(fields, name):
     value = fields.get(name)
     return value if isinstance(value, dict) else {}
 
 
-def read_bound_table(bounds):
-    """Return bounds as a table, whichever form the platform gives them.
+def parse_bounds(bounds):
+    """Return bounds as a dictionary, in whichever form the platform gives them.
 
     Parameters
     ----------
     bounds : dict, list of str or str
-        A table, texts ``name=value``, or such texts with commas between them.
+        A dictionary, a list of ``name=value``, or one string of such pairs separated by
+        commas.
 
     Returns
     -------
     dict
-        Names with their values; anything else is returned as it is.
+        Name to value. A value of any other type is returned unchanged.
 
     Examples
     --------
-    >>> read_bound_table(["grace=6s", "coldSlack=5"])
+    >>> parse_bounds(["grace=6s", "coldSlack=5"])
     {'grace': '6s', 'coldSlack': '5'}
-    >>> read_bound_table("grace=6s,coldSlack=5")
+    >>> parse_bounds("grace=6s,coldSlack=5")
     {'grace': '6s', 'coldSlack': '5'}
     """
     if isinstance(bounds, str):
--- a/quetzalwall/platform/headers.py
+++ b/quetzalwall/platform/headers.py
@@ -1,4 +1,4 @@
-"""Names of headers and query parameters, and what callers' headers say."""
+"""The platform's protocol with callers and endpoints, and its look-up interface."""
 
 import re
 from urllib.parse import parse_qs
@@ -25,27 +25,31 @@
     "parse_lookup_query",
 ]
 
-REQUEST_ID = "X-Quetzalwall-Request-Id"
-DEADLINE = "X-Quetzalwall-Deadline-Ms"
-EXPECT = "X-Quetzalwall-Expect-Instance"
-LOAD = "X-Quetzalwall-Server-Load"
-NOT_RUN = "X-Quetzalwall-Request-Not-Run"
-COLD = "X-Quetzalwall-Cold-Ms"
-LIMIT_NAMES = frozenset(("server-limit", "x-quetzalwall-server-limit"))
-DECIMAL = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?")
-MOST_ODD = 60  # characters of a value that are logged
+REQUEST_ID_HEADER = "X-Quetzalwall-Request-Id"
+DEADLINE_HEADER = "X-Quetzalwall-Deadline-Ms"
+EXPECT_HEADER = "X-Quetzalwall-Expect-Instance"
+LOAD_HEADER = "X-Quetzalwall-Server-Load"
+NOT_RUN_HEADER = "X-Quetzalwall-Request-Not-Run"
+COLD_HEADER = "X-Quetzalwall-Cold-Ms"
+# Headers that advertise a limit, in lower case.
+LIMIT_HEADERS = frozenset(("server-limit", "x-quetzalwall-server-limit"))
+LIMIT_PATTERN = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?")
+MAX_LOGGED_CHARACTERS = 60  # characters of a malformed limit that are logged
 OBJECT_COOKIE = "X-Quetzalwall-Affinity-Key"
-OWN = frozenset((DEADLINE.lower(), EXPECT.lower()))
+# Headers of callers that are not forwarded to endpoints.
+CONSUMED_HEADERS = frozenset((DEADLINE_HEADER.lower(), EXPECT_HEADER.lower()))
 READY_PATH = "/ready"
-MAX_LOOKUP_ADDRESSES = 64  # in the answer of a look-up
-STAMP = "X-Quetzalwall-Server-Stamp"
-MISDIRECTED = 421
-SUCCESS = range(200, 300)
-PROMISES = (408, 421, 429, 503)
+MAX_LOOKUP_ADDRESSES = 64  # in one look-up response
+# A success response of the endpoint itself has this header exactly once.
+STAMP_HEADER = "X-Quetzalwall-Server-Stamp"
+MISDIRECTED_STATUS = 421
+SUCCESS_STATUSES = range(200, 300)
+# Statuses from which callers conclude that the request has not run.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 def parse_request(environ):
-    """Return what a caller's headers say.
+    """Return the metadata of a caller's request.
 
     Parameters
     ----------
@@ -63,37 +67,40 @@
     """
     text = environ.get("HTTP_X_QUETZALWALL_DEADLINE_MS")
     if text is not None and not (text.isdigit() and len(text) <= 12):
-        raise BadRequest(400, f"{DEADLINE} is not a number: {text[:40]}")
+        raise BadRequest(400, f"{DEADLINE_HEADER} is not a number: {text[:40]}")
     return RequestMetadata(
         request_id=environ.get("HTTP_X_QUETZALWALL_REQUEST_ID", ""),
         timeout_s=None if text is None else int(text) / 1000,
         object_key=_object_key(environ.get("HTTP_COOKIE", "")),
-        headers=forwarded_headers(environ, OWN),
+        headers=forwarded_headers(environ, CONSUMED_HEADERS),
     )
 
 
-def endpoint_headers(facts, endpoint, left_s):
+def endpoint_headers(metadata, endpoint, remaining_s):
     """Return the headers of a request to an endpoint.
 
     Parameters
     ----------
-    facts : RequestMetadata
-        What the caller said.
+    metadata : RequestMetadata
+        Metadata of the caller's request.
     endpoint : str
-        Identity of the endpoint; any other refuses the request.
-    left_s : float
-        Seconds left until the deadline.
+        Name of the endpoint; an endpoint of another name rejects the request.
+    remaining_s : float
+        Seconds until the deadline.
 
     Returns
     -------
     dict of str to str
     """
-    own = {DEADLINE: str(max(1, int(left_s * 1000))), EXPECT: endpoint}
-    return facts.headers | own
+    added = {
+        DEADLINE_HEADER: str(max(1, int(remaining_s * 1000))),
+        EXPECT_HEADER: endpoint,
+    }
+    return metadata.headers | added
 
 
 def parse_response(status, items):
-    """Return what an endpoint's headers say.
+    """Return the metadata of an endpoint's response.
 
     Parameters
     ----------
@@ -106,34 +113,38 @@
     -------
     ResponseMetadata
     """
-    found = combine_headers(items)
-    skipped = (
-        HOP_BY_HOP_HEADERS | LIMIT_NAMES | {LOAD.lower(), REQUEST_ID.lower(), "date"}
+    headers_by_name = combine_headers(items)
+    excluded = (
+        HOP_BY_HOP_HEADERS
+        | LIMIT_HEADERS
+        | {LOAD_HEADER.lower(), REQUEST_ID_HEADER.lower(), "date"}
     )
-    passed = [(name, value) for name, value in items if name.lower() not in skipped]
-    not_run = NOT_RUN.lower() in found or status == MISDIRECTED
-    stamps = sum(name.lower() == STAMP.lower() for name, _ in items)
-    limits = [value for name, value in items if name.lower() in LIMIT_NAMES]
-    limit_per_s, malformed_limit = _limit(limits)
-    if REQUEST_ID.lower() in found:
-        passed.append((REQUEST_ID, found[REQUEST_ID.lower()]))
+    forwarded = [(name, value) for name, value in items if name.lower() not in excluded]
+    not_run = NOT_RUN_HEADER.lower() in headers_by_name or status == MISDIRECTED_STATUS
+    stamps = sum(name.lower() == STAMP_HEADER.lower() for name, _ in items)
+    limit_values = [value for name, value in items if name.lower() in LIMIT_HEADERS]
+    limit_per_s, malformed_limit = _parse_limit(limit_values)
+    if REQUEST_ID_HEADER.lower() in headers_by_name:
+        forwarded.append(
+            (REQUEST_ID_HEADER, headers_by_name[REQUEST_ID_HEADER.lower()])
+        )
     return ResponseMetadata(
-        request_id=found.get(REQUEST_ID.lower()),
+        request_id=headers_by_name.get(REQUEST_ID_HEADER.lower()),
         not_run=not_run,
-        misdirected=status == MISDIRECTED,
-        load=_load(found.get(LOAD.lower())),
-        cold_s=_milliseconds(found.get(COLD.lower())),
-        keep_alive_s=_keep_alive_s(found.get("keep-alive", "")),
-        headers=passed,
-        authentic=status not in SUCCESS or stamps == 1,
-        implies_not_run=status in PROMISES and not not_run,
+        misdirected=status == MISDIRECTED_STATUS,
+        load=_parse_load(headers_by_name.get(LOAD_HEADER.lower())),
+        cold_s=_seconds_from_ms(headers_by_name.get(COLD_HEADER.lower())),
+        keep_alive_s=_parse_keep_alive_s(headers_by_name.get("keep-alive", "")),
+        headers=forwarded,
+        authentic=status not in SUCCESS_STATUSES or stamps == 1,
+        implies_not_run=status in NOT_RUN_STATUSES and not not_run,
         limit_per_s=limit_per_s,
         malformed_limit=malformed_limit,
     )
 
 
 def parse_lookup_query(environ):
-    """Return the host, region and failure domain that a look-up names.
+    """Return the host, region and failure domain of a look-up query.
 
     Parameters
     ----------
@@ -143,7 +154,7 @@
     Returns
     -------
     (str, str, str)
-        Empty texts where the query names none.
+        Empty strings for those that the query does not name.
     """
     query = parse_qs(environ["QUERY_STRING"])
     name, region, domain = (
@@ -152,21 +163,21 @@
     return name.lower(), region, domain
 
 
-def lookup_body(places, ttl_s):
-    """Return the body of a look-up's answer.
+def lookup_body(instances, ttl_s):
+    """Return the body of a look-up response.
 
     Parameters
     ----------
-    places : sequence of (str, int)
-        IP number and port of each instance to use.
+    instances : sequence of (str, int)
+        IP address and port of each instance to use.
     ttl_s : float
-        Seconds for which the caller may keep the answer.
+        Seconds for which the caller may cache the response.
 
     Returns
     -------
     dict
     """
-    addresses = [f"{host}:{port}" for host, port in places]
+    addresses = [f"{host}:{port}" for host, port in instances]
     return {"addresses": addresses, "ttl": f"{int(ttl_s * 1000)}ms"}
 
 
@@ -178,36 +189,36 @@
     return ""
 
 
-def _load(text):
+def _parse_load(text):
     parts = (text or "").split(",")
     if len(parts) not in (3, 4):
         return None
     try:
-        figures = [int(part) for part in parts[:4]]
+        numbers = [int(part) for part in parts[:4]]
     except ValueError:
         return None
-    slowness = figures[3] / 100 if len(figures) > 3 and figures[3] > 0 else 1.0
-    return figures[0], figures[1], figures[2], slowness
+    slowness = numbers[3] / 100 if len(numbers) > 3 and numbers[3] > 0 else 1.0
+    return numbers[0], numbers[1], numbers[2], slowness
 
 
-def _limit(values):
-    """Return the limit that an answer names, and what it names instead of one."""
+def _parse_limit(values):
+    """Return the limit, None if there is none, and the malformed value, if any."""
     if not values:
         return None, ""
     text = values[0].strip()
-    if len(values) == 1 and DECIMAL.fullmatch(text):
+    if len(values) == 1 and LIMIT_PATTERN.fullmatch(text):
         return float(text), ""
-    return None, ", ".join(values)[:MOST_ODD] or "empty"
+    return None, ", ".join(values)[:MAX_LOGGED_CHARACTERS] or "empty"
 
 
-def _milliseconds(text):
+def _seconds_from_ms(text):
     try:
         return None if text is None else max(0, int(text)) / 1000
     except ValueError:
         return None
 
 
-def _keep_alive_s(text):
+def _parse_keep_alive_s(text):
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
@@ -215,12 +226,12 @@
     return None
 
 
-def _place(environ):
+def _host_and_path(environ):
     host = environ.get("HTTP_HOST", "").partition(":")[0].lower()
     return host, environ["quetzalwall.target"]
 
 
-def _refuse(retry_after_s, step, reason, peer=""):
+def _reject(retry_after_s, step, reason, peer=""):
     return rejection_response(retry_after_s, reason)
 
 
@@ -229,18 +240,18 @@
     return Response(status, [("Content-Type", "text/plain")], body)
 
 
-def _malformed(exc):
+def _bad_request(exc):
     body = f"{exc.message}\n".encode()
     return Response(exc.status, [("Content-Type", "text/plain")], body)
 
 
 PLATFORM_DIALECT = Dialect(
-    host_and_path=_place,
+    host_and_path=_host_and_path,
     parse_request=parse_request,
     endpoint_headers=endpoint_headers,
     parse_response=parse_response,
     response_headers=lambda headers: headers,
-    reject=_refuse,
+    reject=_reject,
     fail=_fail,
-    bad_request=_malformed,
+    bad_request=_bad_request,
 )
--- a/quetzalwall/platform/rows.py
+++ b/quetzalwall/platform/rows.py
@@ -1,4 +1,4 @@
-"""Decode the platform's rows into the project's types."""
+"""Decode rows of the platform's store into the project's types."""
 
 import ipaddress
 import math
@@ -33,15 +33,16 @@
 INSTANCES_TABLE = "instances"
 CONFIG_KEY = "config"
 EVACUATION_PREFIX = "evacuate/"
-KINDS = {"safe": True, "unsafe": False, "upload": False}  # whether it may run twice
-STATES = {"ready": False, "draining": True}  # whether the endpoint is leaving
-DURATION = re.compile(r"(-?[0-9]+(?:\.[0-9]+)?)(ms|s)")
-PORT = re.compile(r"[0-9]{1,5}")
-HIGHEST_PORT = 65535
-MOST_SLOTS = 1_000_000
-MOST_COLD_S = 86_400.0
-MOST_MESSAGE = 400  # characters
-UNREADABLE = (
+IDEMPOTENT_BY_KIND = {"safe": True, "unsafe": False, "upload": False}
+DRAINING_BY_STATE = {"ready": False, "draining": True}
+DURATION_PATTERN = re.compile(r"(-?[0-9]+(?:\.[0-9]+)?)(ms|s)")
+PORT_PATTERN = re.compile(r"[0-9]{1,5}")
+MAX_PORT = 65535
+MAX_SLOTS = 1_000_000
+MAX_COLD_S = 86_400.0
+MAX_MESSAGE_CHARACTERS = 400
+# What decoding raises for a value of an unexpected type or range.
+DECODE_ERRORS = (
     KeyError,
     TypeError,
     ValueError,
@@ -55,7 +56,7 @@
 
 
 class RowError(QuetzalwallError):
-    """A row can't be read or holds what the platform does not define."""
+    """A row can't be decoded or holds a value that the platform does not define."""
 
 
 def parse_duration_s(text):
@@ -64,7 +65,7 @@
     Parameters
     ----------
     text : str
-        Number and unit.
+        Number with the unit ``ms`` or ``s``.
 
     Returns
     -------
@@ -73,14 +74,14 @@
     Raises
     ------
     RowError
-        The text is no duration.
+        The text is not a duration, or the duration is not finite.
 
     Examples
     --------
     >>> parse_duration_s("1500ms")
     1.5
     """
-    match = DURATION.fullmatch(text) if isinstance(text, str) else None
+    match = DURATION_PATTERN.fullmatch(text) if isinstance(text, str) else None
     if match is None:
         raise RowError(f"not a duration: {str(text)[:40]!r}", step="decode row")
     seconds = float(match[1]) * (0.001 if match[2] == "ms" else 1.0)
@@ -90,7 +91,7 @@
 
 
 def decode_configuration(raw):
-    """Return the configuration that a row holds.
+    """Return the configuration in a row.
 
     Parameters
     ----------
@@ -104,33 +105,33 @@
     Raises
     ------
     RowError
-        The row can't be used; the message names path and value.
+        The row is malformed; the message names the path and the value.
     """
     body = _decode_object(raw)
     services = {}
     for path, record in _records(body, "services"):
-        service = _guard(path, _service, record)
+        service = _decode_at(path, _decode_service, record)
         services[service.name] = service
     hosts = {}
     for path, record in _records(body, "routes"):
-        route = _guard(path, _route, record)
+        route = _decode_at(path, _decode_route, record)
         unknown = [name for name, _ in route.split if name not in services]
         if unknown:
             raise RowError(f"{path}: unknown service {unknown[0]!r}", "decode row")
         hosts.setdefault(route.host, []).append(route)
     hosts = {host: HostRoutes(routes) for host, routes in hosts.items()}
-    limits = _guard("/limits", _limits, body.get("limits") or {})
-    version = _guard("/version", _version, body.get("version"))
+    limits = _decode_at("/limits", _decode_limits, body.get("limits") or {})
+    version = _decode_at("/version", _decode_version, body.get("version"))
     return Configuration(version, hosts, services, limits)
 
 
 def decode_endpoint(name, raw):
-    """Return the entry of an endpoint.
+    """Return the entry of an endpoint in a row.
 
     Parameters
     ----------
     name : str
-        Key of the row: the endpoint's identity.
+        Key of the row, which is the endpoint's name.
     raw : bytes
         Content of the row.
 
@@ -141,9 +142,9 @@
     Raises
     ------
     RowError
-        The row names no endpoint to use.
+        The row is malformed.
     """
-    return _guard(f"/{name}", _endpoint, _decode_object(raw), name)
+    return _decode_at(f"/{name}", _decode_endpoint, _decode_object(raw), name)
 
 
 def _decode_object(raw):
@@ -156,113 +157,123 @@
     return body
 
 
-def _guard(path, decode, *args):
+def _decode_at(path, decode, *args):
+    """Return what ``decode`` returns; its errors become a `RowError` with the path."""
     try:
         return decode(*args)
     except RowError as exc:
         raise RowError(f"{path}: {exc.message}", step="decode row") from exc
-    except UNREADABLE as exc:
-        raise RowError(f"{path}: {exc!r}"[:MOST_MESSAGE], step="decode row") from exc
+    except DECODE_ERRORS as exc:
+        raise RowError(
+            f"{path}: {exc!r}"[:MAX_MESSAGE_CHARACTERS], step="decode row"
+        ) from exc
 
 
 def _records(body, key):
-    """Yield each record of a list that is encoded by columns, with its path."""
-    listed = body.get(key)
-    if not isinstance(listed, dict) or not isinstance(listed.get("rows"), list):
-        raise RowError(f"/{key}: no columns and rows", step="decode row")
-    columns = listed["columns"]
-    for index, values in enumerate(listed["rows"]):
+    """Yield path and record of each row in a table of columns and rows."""
+    table = body.get(key)
+    if not isinstance(table, dict) or not isinstance(table.get("rows"), list):
+        raise RowError(f"/{key}: columns or rows missing", step="decode row")
+    columns = table["columns"]
+    for index, values in enumerate(table["rows"]):
         if not isinstance(values, list) or len(values) != len(columns):
-            raise RowError(f"/{key}/{index}: wrong length", step="decode row")
+            raise RowError(f"/{key}/{index}: not one value a column", step="decode row")
         pairs = zip(columns, values, strict=True)
         record = {name: value for name, value in pairs if value is not None}
         yield f"/{key}/{index}", record
 
 
-def _service(record):
+def _decode_service(record):
     return Service(
-        name=_text(record["name"]),
+        name=_require_text(record["name"]),
         health_path=record.get("healthPath", "/health"),
-        connections=int(record.get("maxConns", 0)),
+        max_connections=int(record.get("maxConns", 0)),
         cold_s=parse_duration_s(record.get("coldStart", "0s")),
         cold_per_s=float(record.get("coldPerS", math.inf)),
     )
 
 
-def _route(record):
+def _decode_route(record):
     split = record.get("trafficSplit") or ()
     if split:
-        parts = tuple((_text(part["service"]), float(part["weight"])) for part in split)
+        targets = tuple(
+            (_require_text(target["service"]), float(target["weight"]))
+            for target in split
+        )
     else:
-        parts = ((_text(record["service"]), 1.0),)
+        targets = ((_require_text(record["service"]), 1.0),)
     timeout = record.get("timeout")
-    prefix = _text(record["prefix"])
+    prefix = _require_text(record["prefix"])
     if not prefix.startswith("/"):
-        raise RowError(f"prefix {prefix!r}", step="decode row")
+        raise RowError(f"no leading slash in prefix {prefix!r}", step="decode row")
     return Route(
-        name=_text(record["name"]),
-        host=_text(record["hostname"]).lower(),
+        name=_require_text(record["name"]),
+        host=_require_text(record["hostname"]).lower(),
         prefix=prefix,
-        idempotent=KINDS[record["kind"]],
+        idempotent=IDEMPOTENT_BY_KIND[record["kind"]],
         timeout_s=None if timeout is None else parse_duration_s(timeout),
-        target_s=_or_default(record.get("slo"), DEFAULT_TARGET_S),
+        target_s=_duration_or_default(record.get("slo"), DEFAULT_TARGET_S),
         rank=int(record.get("priority", DEFAULT_RANK)),
         attempts=max(1, int(record.get("maxAttempts", DEFAULT_ATTEMPTS))),
         sticky=bool(record.get("sticky", False)),
         regions=tuple(record.get("allowedRegions") or ()),
-        split=parts,
+        split=targets,
     )
 
 
-def _or_default(text, default):
+def _duration_or_default(text, default):
     return default if text is None else parse_duration_s(text)
 
 
-def _limits(record):
+def _decode_limits(record):
     return Limits(
         max_body_bytes=int(record.get("maxBodyBytes", Limits().max_body_bytes)),
-        idle_s=_or_default(record.get("idleTimeout"), Limits().idle_s),
+        idle_timeout_s=_duration_or_default(
+            record.get("idleTimeout"), Limits().idle_timeout_s
+        ),
     )
 
 
-def _version(text):
-    # A version is written as a tag: "r" and a number.
+def _decode_version(text):
+    # The platform writes a version as "r" and a number.
     if not isinstance(text, str) or not re.fullmatch(r"r\d+", text):
         raise RowError(f"not a version: {text!r}", step="decode row")
     return int(text[1:])
 
 
-def _endpoint(record, name):
-    address = _text(record["address"])
+def _decode_endpoint(record, name):
+    address = _require_text(record["address"])
     host, _, port = address.rpartition(":")
     ipaddress.IPv4Address(host)
-    if not PORT.fullmatch(port) or not 1 <= int(port) <= HIGHEST_PORT:
-        raise RowError(f"address {address[:40]!r}", step="decode row")
+    if not PORT_PATTERN.fullmatch(port) or not 1 <= int(port) <= MAX_PORT:
+        raise RowError(f"invalid port in {address[:40]!r}", step="decode row")
     slots = record["slots"]
     if isinstance(slots, bool) or not isinstance(slots, int):
-        raise RowError(f"slots {str(slots)[:40]}", step="decode row")
-    if not 1 <= slots <= MOST_SLOTS:
+        raise RowError(f"slots not an integer: {str(slots)[:40]}", step="decode row")
+    if not 1 <= slots <= MAX_SLOTS:
         raise RowError("slots out of range", step="decode row")
-    cold_s = max(0.0, _or_default(record.get("coldLeft"), 0.0))
-    if cold_s > MOST_COLD_S:
-        raise RowError(f"coldLeft {cold_s:.4g} s", step="decode row")
-    born = record.get("born", 0)
-    if isinstance(born, bool) or not isinstance(born, int):
-        raise RowError(f"born {str(born)[:40]}", step="decode row")
+    cold_s = max(0.0, _duration_or_default(record.get("coldLeft"), 0.0))
+    if cold_s > MAX_COLD_S:
+        raise RowError(f"coldLeft {cold_s:.4g} s is too long", step="decode row")
+    incarnation = record.get("born", 0)
+    if isinstance(incarnation, bool) or not isinstance(incarnation, int):
+        raise RowError(
+            f"born not an integer: {str(incarnation)[:40]}", step="decode row"
+        )
     return EndpointEntry(
         name=name,
-        service=_text(record["service"]),
+        service=_require_text(record["service"]),
         host=host,
         port=int(port),
-        domain=_text(record["zone"]),
+        domain=_require_text(record["zone"]),
         slots=slots,
-        draining=STATES[record["state"]],
+        draining=DRAINING_BY_STATE[record["state"]],
         cold_s=cold_s,
-        incarnation=born,
+        incarnation=incarnation,
     )
 
 
-def _text(value):
+def _require_text(value):
     if not isinstance(value, str) or not value:
-        raise RowError(f"not a name: {value!r}", step="decode row")
+        raise RowError(f"not a non-empty string: {value!r}", step="decode row")
     return value
--- a/quetzalwall/platform/settings.py
+++ b/quetzalwall/platform/settings.py
@@ -1,8 +1,9 @@
-"""Settings of an instance that runs on the platform.
+"""Settings of one instance, read from its settings file.
 
-The platform fills in ``deploy/settings.json.template`` and puts the result where an
-environment variable says. It holds all fields that the platform has, which are
-translated here; a file of one's own holds the project's names, but for the bounds.
+The platform renders ``deploy/settings.json.template`` and names the resulting file in
+an environment variable. That file holds all fields of the platform, which are
+translated here. A file written by hand uses the project's names, except for the
+bounds, which have the platform's names in both.
 """
 
 import math
@@ -14,7 +15,7 @@
 
 from quetzalwall.exceptions import SettingsError
 from quetzalwall.logs import get_logger, log_event
-from quetzalwall.platform.fields import read_bound_table, settings_from_fields
+from quetzalwall.platform.fields import parse_bounds, settings_from_fields
 from quetzalwall.platform.rows import RowError, parse_duration_s
 from quetzalwall.version.check import Fault, load_json
 
@@ -25,56 +26,58 @@
     "Listen",
     "format_addresses",
     "log_ignored",
-    "parse_place",
+    "parse_address",
     "read_settings",
     "settings_path",
 ]
 
 PATH_VARIABLE = "QUETZALWALL_NODE_FILE"
-PLACE = {"type": "string", "format": "place"}
-NAME = {"type": "string", "minLength": 1}
-AMOUNT = {"type": "number", "exclusiveMinimum": 0, "maximum": 1e9}
-MOST_PORT = 65535
-FROM_OPERATORS, FROM_TREE = "operators", "tree"  # where the configuration comes from
+ADDRESS_SCHEMA = {"type": "string", "format": "IPv4:port"}
+NAME_SCHEMA = {"type": "string", "minLength": 1}
+POSITIVE_NUMBER_SCHEMA = {"type": "number", "exclusiveMinimum": 0, "maximum": 1e9}
+MAX_PORT = 65535
+FROM_OPERATORS, FROM_TREE = "operators", "tree"  # sources of the configuration
 DEFAULT_LINK_MBPS = 1000.0
 DEFAULT_MEMORY_MB = 300.0
-DEFAULT_CONNECTIONS = 4096
-LISTENERS = ("callers", "health", "peers", "lookup", "metrics")
+DEFAULT_DESCRIPTORS = 4096
+LISTENER_NAMES = ("callers", "health", "peers", "lookup", "metrics")
 SCHEMA = {
     "type": "object",
     "required": ["instance", "address", "region", "domain", "domains", "listen"]
     + ["peer_ports", "store"],
     "properties": {
-        "instance": NAME,
-        "address": {"type": "string", "format": "address"},
-        "region": NAME,
-        "domain": NAME,
-        "domains": {"type": "object", "additionalProperties": NAME},
+        "instance": NAME_SCHEMA,
+        "address": {"type": "string", "format": "IPv4 address"},
+        "region": NAME_SCHEMA,
+        "domain": NAME_SCHEMA,
+        "domains": {"type": "object", "additionalProperties": NAME_SCHEMA},
         "listen": {
             "type": "object",
-            "required": list(LISTENERS),
-            "properties": dict.fromkeys(LISTENERS, PLACE),
+            "required": list(LISTENER_NAMES),
+            "properties": dict.fromkeys(LISTENER_NAMES, ADDRESS_SCHEMA),
         },
         "peer_ports": {
             "type": "array",
-            "items": {"type": "integer", "minimum": 1, "maximum": MOST_PORT},
+            "items": {"type": "integer", "minimum": 1, "maximum": MAX_PORT},
             "minItems": 2,
             "maxItems": 2,
         },
-        "seeds": {"type": "array", "items": PLACE},
-        "store": PLACE,
+        "seeds": {"type": "array", "items": ADDRESS_SCHEMA},
+        "store": ADDRESS_SCHEMA,
         "configuration": {"enum": [FROM_OPERATORS, FROM_TREE]},
-        "link_mbps": AMOUNT,
-        "memory_mb": AMOUNT,
+        "link_mbps": POSITIVE_NUMBER_SCHEMA,
+        "memory_mb": POSITIVE_NUMBER_SCHEMA,
         "connections": {"type": "integer", "minimum": 1},
         "bounds": {"type": "object"},
     },
 }
-# What an instance can do without, by a default.
-OPTIONAL = frozenset(("seeds", "link_mbps", "memory_mb", "connections", "bounds"))
+# Fields with a default. A malformed value of one of them does not prevent the start.
+OPTIONAL_FIELDS = frozenset(
+    ("seeds", "link_mbps", "memory_mb", "connections", "bounds")
+)
 DEFAULT_METRICS_PORT = 9464
-# The platform's name of a bound, to the field of `Bounds`.
-SECONDS = {
+# The platform's names of bounds, each with the field of `Bounds`.
+DURATION_BOUNDS = {
     "stable": "stable_s",
     "drain": "drain_s",
     "grace": "grace_s",
@@ -83,7 +86,7 @@
     "ttl_max": "lookup_ttl_s",
     "reuseAfter": "reuse_after_s",
 }
-NUMBERS = {
+NUMBER_BOUNDS = {
     "retryBudgetRatio": "retry_ratio",
     "budgetSlack": "retry_slack",
     "coldOverage": "cold_overage",
@@ -91,50 +94,51 @@
     "maxShift": "shift_cap",
 }
 
-
 LOG = get_logger("settings")
-FORMATS = jsonschema.FormatChecker(formats=())
+FORMAT_CHECKER = jsonschema.FormatChecker(formats=())
 
 
-@FORMATS.checks("address", raises=OSError)
-def _check_address(text):
+@FORMAT_CHECKER.checks("IPv4 address", raises=OSError)
+def _check_ipv4(text):
     return not isinstance(text, str) or bool(socket.inet_pton(socket.AF_INET, text))
 
 
-@FORMATS.checks("place", raises=(OSError, ValueError))
-def _check_place(text):
+@FORMAT_CHECKER.checks("IPv4:port", raises=(OSError, ValueError))
+def _check_ipv4_and_port(text):
     if not isinstance(text, str):
         return True
-    host, port = parse_place(text)
-    return _check_address(host) and 0 < port <= MOST_PORT
+    host, port = parse_address(text)
+    return _check_ipv4(host) and 0 < port <= MAX_PORT
 
 
-VALIDATOR = jsonschema.Draft202012Validator(SCHEMA, format_checker=FORMATS)
+VALIDATOR = jsonschema.Draft202012Validator(SCHEMA, format_checker=FORMAT_CHECKER)
 
 
 class Bounds(NamedTuple):
-    """Bounds that the operators have set, in seconds and fractions.
+    """Bounds set by the operators.
 
     Attributes
     ----------
     stable_s : float
-        Seconds without trouble after which a machine counts as reachable.
+        Seconds without a failure after which a machine counts as reachable.
     drain_s : float
-        Seconds after which a leaving endpoint gets nothing more.
+        Seconds after which a draining endpoint is sent no more requests.
     grace_s : float
-        Seconds between the signal to stop and the end of the process.
+        Seconds between the signal to stop and the exit of the process.
     config_s : float
-        Seconds in which an accepted configuration is in force.
+        Seconds within which an accepted configuration becomes active.
     retry_window_s, retry_ratio, retry_slack : float
-        Retries of a service in any window: ratio of its requests, plus slack.
+        Limit on the retries of a service in any window: ratio times its requests, plus
+        slack.
     lookup_ttl_s : float
-        Longest time for which callers may keep a look-up's answer.
+        Maximum time for which callers may cache a look-up response.
     reuse_after_s : float
-        Seconds after which another endpoint may have an address.
+        Seconds after which an address may be reused by another endpoint.
     cold_overage, cold_slack : float
-        Requests to a cold endpoint in any second: rate times overage, plus slack.
+        Limit on the requests to a cold endpoint in any second: its cold rate times
+        overage, plus slack.
     shift_cap : float
-        Part of a region's requests that may change region in 2 s.
+        Fraction of a region's requests that may change region in 2 s.
     """
 
     stable_s: float = 4.0
@@ -152,7 +156,7 @@
 
 
 class Listen(NamedTuple):
-    """Addresses that the process listens on, each as (IP number, port)."""
+    """Addresses that the process listens on, each as (IP address, port)."""
 
     callers: tuple
     health: tuple
@@ -167,25 +171,26 @@
     Attributes
     ----------
     instance, address, region, domain : str
-        Name, IP number, region and failure domain.
+        Name, IP address, region and failure domain.
     domains : dict of str to str
         Region of each failure domain.
     listen : Listen
-        Where the process listens.
+        Addresses that the process listens on.
     peer_port : int
         Port of the datagrams between instances.
     seeds : list of (str, int)
-        Instances to ask while the store is down; they may be down themselves.
+        Instances to ask while the store is down; they may be down too.
     store : (str, int)
         Address of the metadata store.
     link_mbps : float
-        Rate of the machine's link in Mbit/s.
+        Bandwidth of the machine's link in Mbit/s.
     memory_mb : float
         Memory that the process may use, in MB.
     descriptors : int
-        Descriptors that the process may have open.
+        Maximum number of file descriptors of the process.
     config_source : str
-        ``"operators"`` for the platform's own, ``"tree"`` for the product's tree.
+        ``"operators"`` for the configuration of the platform's operators,
+        ``"tree"`` for the product's settings tree.
     bounds : Bounds
         The operators' bounds.
     """
@@ -207,12 +212,12 @@
 
 
 def settings_path(environ=None):
-    """Return the path of the settings file that the platform names.
+    """Return the path of the settings file that the platform provides.
 
     Parameters
     ----------
     environ : mapping, default=None
-        Environment; that of the process if None.
+        Environment variables; those of the process if None.
 
     Returns
     -------
@@ -221,17 +226,17 @@
     return (os.environ if environ is None else environ).get(PATH_VARIABLE)
 
 
-def read_settings(file, ignored=None, former=None):
-    """Return the checked settings of a file.
+def read_settings(file, ignored=None, previous=None):
+    """Return the checked settings in a file.
 
     Parameters
     ----------
     file : str
         Path of the file.
     ignored : list of Fault, default=None
-        Gets the values that can't be read and that an instance can do without.
-    former : InstanceSettings, default=None
-        Settings whose values hold instead of those; defaults if None.
+        Receives the malformed values of optional fields.
+    previous : InstanceSettings, default=None
+        Settings whose seeds and bounds replace malformed ones; defaults if None.
 
     Returns
     -------
@@ -240,13 +245,13 @@
     Raises
     ------
     SettingsError
-        Names every fault of what is needed, each with file, path and value.
+        With every fault in the required fields, each with file, path and value.
     """
     ignored = [] if ignored is None else ignored
-    body = _given(load_json(file))
+    body = _normalize(load_json(file))
     if isinstance(body, dict):
-        _drop_faulty(file, body, ignored)
-    faults = [_fault(file, error) for error in VALIDATOR.iter_errors(body)]
+        _drop_malformed_optional(file, body, ignored)
+    faults = [_fault_from_error(file, error) for error in VALIDATOR.iter_errors(body)]
     if faults:
         raise SettingsError("\n".join(str(fault) for fault in faults), faults)
     settings = InstanceSettings(
@@ -256,31 +261,31 @@
         domain=body["domain"],
         domains=body["domains"],
         listen=Listen(
-            **{name: parse_place(body["listen"][name]) for name in LISTENERS}
+            **{name: parse_address(body["listen"][name]) for name in LISTENER_NAMES}
         ),
         peer_port=int(body["peer_ports"][0]),
-        seeds=[parse_place(text) for text in body.get("seeds", ())],
-        store=parse_place(body["store"]),
+        seeds=[parse_address(text) for text in body.get("seeds", ())],
+        store=parse_address(body["store"]),
         link_mbps=float(body.get("link_mbps", DEFAULT_LINK_MBPS)),
         memory_mb=float(body.get("memory_mb", DEFAULT_MEMORY_MB)),
-        descriptors=int(body.get("connections", DEFAULT_CONNECTIONS)),
+        descriptors=int(body.get("connections", DEFAULT_DESCRIPTORS)),
         config_source=body.get("configuration", FROM_OPERATORS),
         bounds=Bounds(),
     )
-    unread = {fault.path.split("/")[1] for fault in ignored}
-    if former is not None and "seeds" in unread and not settings.seeds:
-        settings = settings._replace(seeds=former.seeds)
-    if former is not None and "bounds" in unread and "bounds" not in body:
-        return settings._replace(bounds=former.bounds)
-    known = former.bounds if former is not None else settings.bounds
+    ignored_fields = {fault.path.split("/")[1] for fault in ignored}
+    if previous is not None and "seeds" in ignored_fields and not settings.seeds:
+        settings = settings._replace(seeds=previous.seeds)
+    if previous is not None and "bounds" in ignored_fields and "bounds" not in body:
+        return settings._replace(bounds=previous.bounds)
+    fallback = previous.bounds if previous is not None else settings.bounds
     bounds = {}
     for name, value in body.get("bounds", {}).items():
-        _read_bound(file, name, value, bounds, known, ignored)
+        _read_bound(file, name, value, bounds, fallback, ignored)
     return settings._replace(bounds=Bounds(**bounds))
 
 
-def _given(body):
-    """Return a body in the project's names, without the fields that have no value."""
+def _normalize(body):
+    """Return a body with the project's names and without fields that are null."""
     if not isinstance(body, dict):
         return body
     fields = body.get("platform")
@@ -288,17 +293,17 @@
         port = body.get("metrics_port", DEFAULT_METRICS_PORT)
         body = settings_from_fields(fields, port) | body
     if "bounds" in body:
-        body = body | {"bounds": read_bound_table(body["bounds"])}
+        body = body | {"bounds": parse_bounds(body["bounds"])}
     return {name: value for name, value in body.items() if value is not None}
 
 
-def _drop_faulty(file, body, ignored):
-    """Take out of a body what can't be read and isn't needed."""
+def _drop_malformed_optional(file, body, ignored):
+    """Remove malformed values of optional fields from a body."""
     for error in list(VALIDATOR.iter_errors(body)):
         name, index = [*error.absolute_path, None, None][:2]
-        if name not in OPTIONAL:
+        if name not in OPTIONAL_FIELDS:
             continue
-        ignored.append(_fault(file, error))
+        ignored.append(_fault_from_error(file, error))
         if name == "seeds" and index is not None:
             body["seeds"] = [seed for seed in body["seeds"] if seed != error.instance]
         else:
@@ -306,20 +311,20 @@
 
 
 def log_ignored(faults):
-    """Name values of the settings that can't be read and that others stand in for.
+    """Log the settings that were ignored since their values are malformed.
 
     Parameters
     ----------
     faults : list of Fault
-        The values.
+        One for each ignored value.
     """
     for fault in faults:
         fields = {"path": fault.path, "value": fault.value, "reason": fault.message}
         log_event(LOG, "setting-ignored", "error", file=fault.file, **fields)
 
 
-def parse_place(text):
-    """Return the IP number and port of ``"IP:PORT"``.
+def parse_address(text):
+    """Return the IP address and port of ``"IP:PORT"``.
 
     Parameters
     ----------
@@ -332,7 +337,7 @@
 
     Examples
     --------
-    >>> parse_place("127.0.0.1:80")
+    >>> parse_address("127.0.0.1:80")
     ('127.0.0.1', 80)
     """
     host, _, port = text.rpartition(":")
@@ -340,7 +345,7 @@
 
 
 def format_addresses(listen):
-    """Return all addresses of a process as text for the log.
+    """Return the addresses of a process as text for the log.
 
     Parameters
     ----------
@@ -355,22 +360,22 @@
     return ",".join(f"{name}:{host}:{port}" for name, (host, port) in pairs)
 
 
-def _fault(file, error):
+def _fault_from_error(file, error):
     path = "/" + "/".join(str(part) for part in error.absolute_path)
     return Fault(file, path, str(error.instance)[:80], error.message[:160])
 
 
-def _read_bound(file, name, value, bounds, known, ignored):
-    """Add one bound; one that can't be read stays as it is known."""
-    field = SECONDS.get(name) or NUMBERS.get(name)
+def _read_bound(file, name, value, bounds, fallback, ignored):
+    """Add one bound to ``bounds``; a malformed one gets its value in ``fallback``."""
+    field = DURATION_BOUNDS.get(name) or NUMBER_BOUNDS.get(name)
     if field is None:
         return
     try:
-        if name in SECONDS:
+        if name in DURATION_BOUNDS:
             value = parse_duration_s(value)
         number = _parse_number(value)
     except (RowError, TypeError, ValueError) as exc:
-        bounds[field] = getattr(known, field)
+        bounds[field] = getattr(fallback, field)
         ignored.append(Fault(file, f"/bounds/{name}", str(value), str(exc)))
     else:
         bounds[field] = number
@@ -381,5 +386,5 @@
         raise ValueError("must be a number")
     number = float(value)
     if not 0 <= number < math.inf:
-        raise ValueError("must be a number from 0")
+        raise ValueError("must be a finite number of at least 0")
     return number
--- a/quetzalwall/platform/store.py
+++ b/quetzalwall/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's metadata store: tables of rows, with a feed of changes."""
+"""Client of the platform's metadata store: tables of rows with a change feed."""
 
 import base64
 from typing import NamedTuple
@@ -12,7 +12,7 @@
     "RowChange",
     "Rows",
     "StoreClient",
-    "Transacted",
+    "TransactionResult",
     "create_store_client",
 ]
 
@@ -21,11 +21,11 @@
 
 
 class HistoryGone(StoreError):
-    """The changes asked for are no longer kept; the rows must be read again."""
+    """The requested changes are no longer stored; the table must be read again."""
 
 
 class RowChange(NamedTuple):
-    """A row as it is now, or its removal.
+    """Current state of a row, or its removal.
 
     Attributes
     ----------
@@ -34,7 +34,7 @@
     value : bytes or None
         Content; None if the row was removed.
     version : int
-        Version of the transaction that changed it.
+        Version of the transaction that changed the row.
     """
 
     key: str
@@ -43,18 +43,18 @@
 
 
 class Rows(NamedTuple):
-    """Rows as of one moment.
+    """Rows of a table, or changes to them, up to one version.
 
     Attributes
     ----------
     rows : list of RowChange
-        The rows, or the changes in order.
+        The rows, or the changes in the order of versions.
     version : int
-        Newest version of the store; the feed goes on from it.
+        Version up to which they are known; the feed continues from it.
     expired : frozenset of str, default=frozenset()
-        Keys of removed rows that may come back, since the store was away.
+        Keys of removed rows that may return, since the store was unavailable.
     return_grace_s : float or None, default=None
-        Seconds in which they may; None if it was just found.
+        Seconds within which they may return; None if the removal has just been found.
     """
 
     rows: list
@@ -63,18 +63,17 @@
     return_grace_s: float | None = None
 
 
-class Transacted(NamedTuple):
+class TransactionResult(NamedTuple):
     """Result of a transaction.
 
     Attributes
     ----------
     committed : bool
-        Whether the writes took effect.
+        Whether the writes were applied.
     version : int
-        When committed, the version of every row written.
+        If committed, the version of every row written.
     rows : list of (str, RowChange)
-        Otherwise the checked rows as they are, each with its table; a removed or
-        absent one is left out.
+        If not committed, table and current state of each checked row that exists.
     """
 
     committed: bool
@@ -88,11 +87,12 @@
     Parameters
     ----------
     host : str
-        IP number of the store.
+        IP address of the store.
     port : int
         TCP port of the store.
     timeout_s : float, default=2.0
-        Seconds that a call may take, beside the time it may wait for a change.
+        Time-out of a call in seconds, plus the time that the store may wait for a
+        change.
     """
 
     def __init__(self, host, port, timeout_s=2.0):
@@ -100,7 +100,7 @@
         self.timeout_s = timeout_s
 
     def read(self, table):
-        """Return all rows of a table with an empty part.
+        """Return all rows of a table whose part is empty.
 
         Parameters
         ----------
@@ -114,19 +114,19 @@
         Raises
         ------
         StoreUnavailable
-            No answer arrived, or the store refuses calls for now.
+            No response arrived, or the store is rejecting calls.
         """
-        rows, first, start = [], None, ""
+        rows, first_version, start = [], None, ""
         while True:
             query = {"table": table, "part": "", "limit": PAGE_ROWS}
             if start:
                 query["from"] = start
             body = self._get("/rows-get", query)
-            rows += [_row(row) for row in body["rows"]]
-            first = body["ver"] if first is None else first
+            rows += [_decode_row(row) for row in body["rows"]]
+            first_version = body["ver"] if first_version is None else first_version
             if not body.get("hasMore") or not body["rows"]:
-                return Rows(rows, first)
-            # Zero is the least byte, so this is the next possible key.
+                return Rows(rows, first_version)
+            # No key sorts between a key and the same key with a zero byte appended.
             start = body["rows"][-1]["key"] + "\0"
 
     def follow(self, table, after, wait_s):
@@ -139,7 +139,7 @@
         after : int
             Version up to which the changes are known.
         wait_s : float
-            Seconds that the store may wait for the first change.
+            Seconds for which the store may wait for the first change.
 
         Returns
         -------
@@ -148,37 +148,37 @@
         Raises
         ------
         HistoryGone
-            The store no longer keeps these changes.
+            The store no longer has all of these changes.
         StoreUnavailable
-            No answer arrived, or the store refuses calls for now.
+            No response arrived, or the store is rejecting calls.
         """
         query = {"table": table, "after": after, "waitMs": int(wait_s * 1000)}
         body = self._get("/rows-feed", query, wait_s)
-        return Rows([_row(row) for row in body["rows"]], body["ver"])
+        return Rows([_decode_row(row) for row in body["rows"]], body["ver"])
 
     def put(self, table, key, value):
-        """Write one row, whatever it held before.
+        """Write or remove one row unconditionally.
 
         Parameters
         ----------
         table, key : str
-            Place of the row; its part is empty.
+            Table and key of the row; its part is empty.
         value : bytes or None
             Content; None removes the row.
 
         Raises
         ------
         StoreUnavailable
-            No answer arrived; the write may have taken effect.
+            No response arrived; the write may have been applied.
         """
-        place = _place(table, key)
+        row_address = _row_address(table, key)
         puts, deletes = [], []
         if value is None:
-            deletes.append(place)
+            deletes.append(row_address)
         else:
-            puts.append(place | {"value": base64.b64encode(value).decode()})
+            puts.append(row_address | {"value": base64.b64encode(value).decode()})
         body = {"expectedRev": [], "puts": puts, "deletes": deletes}
-        self._checked("POST", "/rows-tx", body, None)
+        self._call_for_body("POST", "/rows-tx", body, None)
 
     def read_row(self, table, key):
         """Return one row.
@@ -186,30 +186,30 @@
         Parameters
         ----------
         table, key : str
-            Place of the row; its part is empty.
+            Table and key of the row; its part is empty.
 
         Returns
         -------
         RowChange
-            With no value and version 0 if there is no such row.
+            Without a value and with version 0 if there is no such row.
 
         Raises
         ------
         StoreUnavailable
-            No answer arrived, or the store refuses calls for now.
+            No response arrived, or the store is rejecting calls.
         """
         rows = self.read_range(table, key, key + "\0")
         return rows[0] if rows else RowChange(key, None, 0)
 
     def read_range(self, table, first, end):
-        """Return the rows whose keys lie in a range, 500 at most.
+        """Return the rows whose keys lie in a range, at most 500.
 
         Parameters
         ----------
         table : str
             Name of the table.
         first, end : str
-            The first key, and the first one behind the range.
+            First key of the range, and the first key after it.
 
         Returns
         -------
@@ -218,13 +218,13 @@
         Raises
         ------
         StoreUnavailable
-            No answer arrived, or the store refuses calls for now.
+            No response arrived, or the store is rejecting calls.
         """
         query = {"table": table, "part": "", "from": first, "target": end}
-        return [_row(row) for row in self._get("/rows-get", query)["rows"]]
+        return [_decode_row(row) for row in self._get("/rows-get", query)["rows"]]
 
     def transact(self, checks, writes, timeout_s=None):
-        """Write rows if other rows have the expected versions, all or nothing.
+        """Write rows atomically if other rows have the expected versions.
 
         Parameters
         ----------
@@ -233,33 +233,35 @@
         writes : dict of (str, str) to bytes
             Table and key to new value.
         timeout_s : float, default=None
-            Seconds that the call may take.
+            Time-out of the call in seconds; that of the client if None.
 
         Returns
         -------
-        Transacted
+        TransactionResult
 
         Raises
         ------
         StoreUnavailable
-            No answer arrived; the transaction may have taken effect.
+            No response arrived; the transaction may have been applied.
         """
         body = {
             "expectedRev": [
-                _place(table, key) | {"ver": version}
+                _row_address(table, key) | {"ver": version}
                 for (table, key), version in checks.items()
             ],
             "puts": [
-                _place(table, key) | {"value": base64.b64encode(value).decode()}
+                _row_address(table, key) | {"value": base64.b64encode(value).decode()}
                 for (table, key), value in writes.items()
             ],
             "deletes": [],
         }
-        answer = self._call("POST", "/rows-tx", body, timeout_s, accepted=(200, 412))
-        found = answer.body if isinstance(answer.body, dict) else {}
-        rows = [(row["table"], _row(row)) for row in found.get("rows") or ()]
+        response = self._call("POST", "/rows-tx", body, timeout_s, accepted=(200, 412))
+        result = response.body if isinstance(response.body, dict) else {}
+        rows = [(row["table"], _decode_row(row)) for row in result.get("rows") or ()]
         present = [pair for pair in rows if pair[1].value is not None]
-        return Transacted(answer.status == 200, int(found.get("ver", 0)), present)
+        return TransactionResult(
+            response.status == 200, int(result.get("ver", 0)), present
+        )
 
     def close(self):
         """Close all connections."""
@@ -267,36 +269,36 @@
 
     def _get(self, path, query, wait_s=0.0):
         target = f"{path}?{urlencode(query)}"
-        body = self._checked("GET", target, None, self.timeout_s + wait_s)
+        body = self._call_for_body("GET", target, None, self.timeout_s + wait_s)
         if not isinstance(body, dict) or not isinstance(body.get("rows"), list):
-            raise StoreUnavailable("answer has no rows", step=path, peer=STORE_PEER)
+            raise StoreUnavailable("no rows in response", step=path, peer=STORE_PEER)
         if not isinstance(body.get("ver"), int):
-            raise StoreUnavailable("answer has no version", step=path, peer=STORE_PEER)
+            raise StoreUnavailable("no version in response", step=path, peer=STORE_PEER)
         return body
 
-    def _checked(self, method, target, body, timeout_s):
+    def _call_for_body(self, method, target, body, timeout_s):
         return self._call(method, target, body, timeout_s).body
 
     def _call(self, method, target, body, timeout_s, accepted=(200,)):
         step = target.partition("?")[0]
         try:
-            answer = self._client.call(method, target, body, timeout_s=timeout_s)
+            response = self._client.call(method, target, body, timeout_s=timeout_s)
         except PeerError as exc:
             raise StoreUnavailable(exc.message, step=step, peer=STORE_PEER) from exc
-        if answer.status == 410:
-            raise HistoryGone("history is gone", step=step, peer=STORE_PEER)
-        if answer.status in (429, 503) or answer.status >= 500:
-            raise StoreUnavailable(f"status {answer.status}", step, STORE_PEER)
-        if answer.status not in accepted:
-            raise StoreError(f"status {answer.status}", step=step, peer=STORE_PEER)
-        return answer
+        if response.status == 410:
+            raise HistoryGone("changes no longer stored", step=step, peer=STORE_PEER)
+        if response.status in (429, 503) or response.status >= 500:
+            raise StoreUnavailable(f"status {response.status}", step, STORE_PEER)
+        if response.status not in accepted:
+            raise StoreError(f"status {response.status}", step=step, peer=STORE_PEER)
+        return response
 
 
-def _place(table, key):
+def _row_address(table, key):
     return {"table": table, "part": "", "key": key}
 
 
-def _row(row):
+def _decode_row(row):
     version = int(row.get("ver", 0))
     if row.get("removed"):
         return RowChange(row["key"], None, version)
