--- a/quetzalwall/version/__init__.py
+++ b/quetzalwall/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one version of the configuration."""
+"""Data that lives as long as one version of the configuration, and its checks."""
--- a/quetzalwall/version/block_map.py
+++ b/quetzalwall/version/block_map.py
@@ -1,8 +1,8 @@
 """Assignment of client blocks to sites by weighted rendezvous hashing.
 
-Every instance works out the same assignment from the same version of the settings. A
-change of one site's weight moves only blocks to or from that site, and a region is
-worked out by itself, so a change costs one region.
+Every instance computes the same assignment from the same version of the settings. A
+change of one site's weight moves only blocks to or from that site. Each region is
+computed separately, so that a change requires only the affected region to be computed.
 """
 
 import math
@@ -22,13 +22,14 @@
     blocks : dict of str to dict
         Block in CIDR notation to ``region`` and ``weight`` (expected load).
     sites : dict of str to dict
-        Site to ``region``, ``weight`` (share of the load) and ``capacity`` (most load).
+        Site to ``region``, ``weight`` (share of the load) and ``capacity`` (maximum
+        load).
 
     Returns
     -------
     dict of str to str
         Block to site. No site gets more than its capacity while another site of the
-        region has room.
+        region has free capacity.
 
     References
     ----------
@@ -46,12 +47,12 @@
 
 
 def reassign_regions(assignment, blocks, sites, regions):
-    """Return an assignment with some regions worked out anew.
+    """Return an assignment with some regions computed again.
 
     Parameters
     ----------
     assignment : dict of str to str
-        Block to site, kept for all other regions.
+        Block to site, unchanged for all other regions.
     blocks, sites : dict of str to dict
         As for `assign_blocks`.
     regions : iterable of str
@@ -61,19 +62,19 @@
     -------
     dict of str to str
     """
-    chosen = set(regions)
-    kept = {
+    changed = set(regions)
+    result = {
         block: site
         for block, site in assignment.items()
-        if block in blocks and blocks[block]["region"] not in chosen
+        if block in blocks and blocks[block]["region"] not in changed
     }
-    for region in sorted(chosen):
-        kept.update(_assign_region(region, blocks, sites))
-    return kept
+    for region in sorted(changed):
+        result.update(_assign_region(region, blocks, sites))
+    return result
 
 
 def assignment_delta(old, new):
-    """Return what changed between two assignments.
+    """Return the difference between two assignments.
 
     Parameters
     ----------
@@ -83,7 +84,7 @@
     Returns
     -------
     dict of str to str or None
-        Block to its new site; None for a block that is gone.
+        Block to its new site; None for a block that was removed.
     """
     delta = {block: site for block, site in new.items() if old.get(block) != site}
     delta.update({block: None for block in old if block not in new})
@@ -91,38 +92,38 @@
 
 
 def _assign_region(region, blocks, sites):
-    local = {
+    local_sites = {
         name: (xxhash.xxh64_intdigest(name.encode()), spec["weight"])
         for name, spec in sorted(sites.items())
         if spec["region"] == region and spec["weight"] > 0
     }
-    room = {name: sites[name]["capacity"] for name in local}
-    found = {}
-    if not local:
-        return found
-    members = [name for name, spec in blocks.items() if spec["region"] == region]
-    for block in sorted(members, key=_hash):
+    free_capacity = {name: sites[name]["capacity"] for name in local_sites}
+    assigned = {}
+    if not local_sites:
+        return assigned
+    local_blocks = [name for name, spec in blocks.items() if spec["region"] == region]
+    for block in sorted(local_blocks, key=_hash):
         weight = blocks[block]["weight"]
-        site = _best_site(block, weight, local, room)
-        room[site] -= weight
-        found[block] = site
-    return found
+        site = _best_site(block, weight, local_sites, free_capacity)
+        free_capacity[site] -= weight
+        assigned[block] = site
+    return assigned
 
 
-def _best_site(block, weight, sites, room):
-    """Return the site of the least cost that has room, or that has the most room."""
+def _best_site(block, weight, sites, free_capacity):
+    """Return the cheapest site with enough free capacity, or that with the most."""
     key = block.encode()
-    best, least = None, math.inf
+    best_site, lowest_cost = None, math.inf
     for name, (seed, site_weight) in sites.items():
-        if room[name] < weight:
+        if free_capacity[name] < weight:
             continue
-        point = (xxhash.xxh64_intdigest(key, seed) + 1) / HASH_RANGE
-        cost = -math.log(point) / site_weight if point < 1.0 else 0.0
-        if cost < least:
-            best, least = name, cost
-    if best is None:
-        best = max(sites, key=lambda name: (room[name], name))
-    return best
+        fraction = (xxhash.xxh64_intdigest(key, seed) + 1) / HASH_RANGE
+        cost = -math.log(fraction) / site_weight if fraction < 1.0 else 0.0
+        if cost < lowest_cost:
+            best_site, lowest_cost = name, cost
+    if best_site is None:
+        best_site = max(sites, key=lambda name: (free_capacity[name], name))
+    return best_site
 
 
 def _hash(block):
--- a/quetzalwall/version/block_table.py
+++ b/quetzalwall/version/block_table.py
@@ -20,14 +20,14 @@
     ----------
     starts : array of uint32
         First address of each range, ascending.
-    places : array of uint16
+    site_indexes : array of uint16
         Index into ``sites``, or 0xFFFF for addresses outside all blocks.
     sites : list of str
         Names of sites.
     """
 
     starts: array
-    places: array
+    site_indexes: array
     sites: list
 
 
@@ -55,35 +55,35 @@
     ['a', 'b', None]
     """
     sites = sorted(set(assignment.values()))
-    index = {site: place for place, site in enumerate(sites)}
+    index_by_site = {site: site_index for site_index, site in enumerate(sites)}
     ranges = sorted(
-        (start, -end, index[assignment[block]])
+        (start, -end, index_by_site[assignment[block]])
         for block in assignment
-        for start, end in [_range_of(block)]
+        for start, end in [_parse_block(block)]
     )
-    starts, places = array("I"), array("H")
-    open_ranges = []  # enclosing blocks: end and place, innermost last
+    starts, site_indexes = array("I"), array("H")
+    open_ranges = []  # enclosing blocks: end and site index, innermost last
 
-    def begin(address, place):
+    def start_range(address, site_index):
         if starts and starts[-1] == address:
-            places[-1] = place
-        elif not places or places[-1] != place:
+            site_indexes[-1] = site_index
+        elif not site_indexes or site_indexes[-1] != site_index:
             starts.append(address)
-            places.append(place)
+            site_indexes.append(site_index)
 
-    def close_until(address):
+    def close_ranges_until(address):
         while open_ranges and open_ranges[-1][0] <= address:
             end, _ = open_ranges.pop()
             if end <= 0xFFFFFFFF:
-                begin(end, open_ranges[-1][1] if open_ranges else NO_SITE)
+                start_range(end, open_ranges[-1][1] if open_ranges else NO_SITE)
 
-    begin(0, NO_SITE)
-    for start, negative_end, place in ranges:
-        close_until(start)
-        begin(start, place)
-        open_ranges.append((-negative_end, place))
-    close_until(sys.maxsize)
-    return BlockTable(starts, places, sites)
+    start_range(0, NO_SITE)
+    for start, negative_end, site_index in ranges:
+        close_ranges_until(start)
+        start_range(start, site_index)
+        open_ranges.append((-negative_end, site_index))
+    close_ranges_until(sys.maxsize)
+    return BlockTable(starts, site_indexes, sites)
 
 
 def find_site(table, address):
@@ -94,16 +94,16 @@
     table : BlockTable
         The table.
     address : str
-        IP number, version 4.
+        IPv4 address.
 
     Returns
     -------
     str or None
-        None if no block holds the address.
+        None if no block contains the address.
     """
     number = int.from_bytes(socket.inet_aton(address), "big")
-    place = table.places[bisect_right(table.starts, number) - 1]
-    return None if place == NO_SITE else table.sites[place]
+    site_index = table.site_indexes[bisect_right(table.starts, number) - 1]
+    return None if site_index == NO_SITE else table.sites[site_index]
 
 
 def table_bytes(table):
@@ -118,11 +118,11 @@
     -------
     int
     """
-    arrays = (table.starts, table.places)
+    arrays = (table.starts, table.site_indexes)
     return sum(item.itemsize * len(item) for item in arrays)
 
 
-def _range_of(block):
+def _parse_block(block):
     try:
         text, _, length = block.partition("/")
         bits = int(length)
--- a/quetzalwall/version/check.py
+++ b/quetzalwall/version/check.py
@@ -1,4 +1,4 @@
-"""Check settings and report every fault at once."""
+"""Check settings and report all faults at once."""
 
 import difflib
 import json
@@ -16,7 +16,7 @@
     "require_valid_tree",
 ]
 
-MAX_VALUE_TEXT = 80  # characters of a wrong value shown to the operator
+MAX_VALUE_CHARACTERS = 80  # of a wrong value shown to the operator
 
 
 class Fault(NamedTuple):
@@ -25,11 +25,11 @@
     Attributes
     ----------
     file : str
-        File in which the fault stands.
+        File that contains the fault.
     path : str
         Path in the tree, for example ``/desk/services/order-desk/endpoints``.
     value : str
-        The wrong value, shortened.
+        The wrong value, truncated.
     message : str
         What is wrong with it.
     """
@@ -58,11 +58,11 @@
     Raises
     ------
     SettingsError
-        The file can't be read or is not JSON, or a key stands twice.
+        The file can't be read, is not JSON or has a duplicate key.
     """
     try:
         with open(file, encoding="utf-8") as stream:
-            return json.load(stream, object_pairs_hook=_unique_keys)
+            return json.load(stream, object_pairs_hook=_require_unique_keys)
     except OSError as exc:
         fault = Fault(file, "/", "", exc.strerror or str(exc))
     except (ValueError, RecursionError) as exc:
@@ -120,27 +120,27 @@
         raise SettingsError("\n".join(str(fault) for fault in faults), faults)
 
 
-def _unique_keys(pairs):
+def _require_unique_keys(pairs):
     document = dict(pairs)
     if len(document) != len(pairs):
         names = [name for name, _ in pairs]
-        twice = sorted({name for name in names if names.count(name) > 1})
-        raise ValueError(f"key stands twice: {', '.join(twice)}")
+        duplicates = sorted({name for name in names if names.count(name) > 1})
+        raise ValueError(f"duplicate key: {', '.join(duplicates)}")
     return document
 
 
-def _schema_faults(document, schema, file, root):
+def _schema_faults(document, schema, file, team_path):
     validator = jsonschema.Draft202012Validator(schema)
     faults = []
     for error in validator.iter_errors(document):
-        faults += _faults_of_error(error, file, root)
+        faults += _faults_from_error(error, file, team_path)
     return sorted(faults)
 
 
-def _faults_of_error(error, file, root):
-    path = "/" + "/".join(str(part) for part in (*root, *error.absolute_path))
+def _faults_from_error(error, file, team_path):
+    path = "/" + "/".join(str(part) for part in (*team_path, *error.absolute_path))
     if error.validator != "additionalProperties":
-        return [Fault(file, path, _shorten(error.instance), _message(error))]
+        return [Fault(file, path, _shorten(error.instance), _schema_message(error))]
     known = sorted(error.schema["properties"])
     unknown = [key for key in error.instance if key not in known]
     return [
@@ -159,7 +159,7 @@
     return f'unknown key; nearest known key is "{nearest[0]}"'
 
 
-def _message(error):
+def _schema_message(error):
     if error.validator == "required":
         return error.message
     return error.message[-200:]
@@ -167,85 +167,99 @@
 
 def _shorten(value):
     text = json.dumps(value, default=str)
-    if len(text) <= MAX_VALUE_TEXT:
+    if len(text) <= MAX_VALUE_CHARACTERS:
         return text
-    return text[: MAX_VALUE_TEXT - 3] + "..."
+    return text[: MAX_VALUE_CHARACTERS - 3] + "..."
 
 
 def _reference_faults(tree, file):
-    """Return names that are defined twice or not at all."""
-    known = {}
+    """Return the faults of names that are defined twice, or used but not defined."""
+    defined = {}
     faults = []
     for section in ("regions", "classes", "services", "shifts"):
-        known[section] = {}
+        defined[section] = {}
         for team, subtree in sorted(tree.items()):
             for name, value in subtree.get(section, {}).items():
                 path = f"/{team}/{section}/{name}"
-                if name in known[section]:
-                    other = known[section][name][0]
+                if name in defined[section]:
+                    other = defined[section][name][0]
                     message = f"already defined by team {other}"
                     faults.append(Fault(file, path, name, message))
-                known[section][name] = (team, value)
+                defined[section][name] = (team, value)
     domains = {
         domain: region
-        for region, (_, value) in known["regions"].items()
+        for region, (_, value) in defined["regions"].items()
         for domain in value["domains"]
     }
-    context = _References(file, known, domains)
-    faults += context.endpoint_faults()
-    faults += context.service_faults()
-    faults += context.shift_faults()
+    checker = _ReferenceChecker(file, defined, domains)
+    faults += checker.endpoint_faults()
+    faults += checker.service_faults()
+    faults += checker.shift_faults()
     return sorted(faults)
 
 
-class _References(NamedTuple):
+class _ReferenceChecker(NamedTuple):
+    """Finds references to names that are not defined.
+
+    Attributes
+    ----------
+    file : str
+        File named in faults.
+    defined : dict of str to dict
+        Section to name to the team that defines it, and its value.
+    domains : dict of str to str
+        Region of each failure domain.
+    """
+
     file: str
-    known: dict
+    defined: dict
     domains: dict
 
     def endpoint_faults(self):
         faults = []
         owners = {}
-        for service, (team, value) in self.known["services"].items():
+        for service, (team, value) in self.defined["services"].items():
             for name, endpoint in value["endpoints"].items():
                 path = f"/{team}/services/{service}/endpoints/{name}"
-                faults += self._place(path, endpoint)
+                faults += self._location_faults(path, endpoint)
                 if owners.setdefault(name, service) != service:
-                    message = f"endpoint also stands in service {owners[name]}"
+                    message = f"endpoint is also defined in service {owners[name]}"
                     faults.append(Fault(self.file, path, name, message))
         return faults
 
     def service_faults(self):
         faults = []
-        for service, (team, value) in self.known["services"].items():
+        for service, (team, value) in self.defined["services"].items():
             path = f"/{team}/services/{service}"
             for index, route in enumerate(value["routes"]):
-                faults += self._name(
+                faults += self._name_faults(
                     f"{path}/routes/{index}/class", "classes", route["class"]
                 )
             for region in value.get("region_limits", {}):
-                faults += self._name(f"{path}/region_limits", "regions", region)
+                faults += self._name_faults(f"{path}/region_limits", "regions", region)
         return faults
 
     def shift_faults(self):
         faults = []
-        for name, (team, value) in self.known["shifts"].items():
+        for name, (team, value) in self.defined["shifts"].items():
             path = f"/{team}/shifts/{name}"
-            faults += self._name(f"{path}/service", "services", value["service"])
-            faults += self._name(f"{path}/from", "regions", value["from"])
-            faults += self._name(f"{path}/to", "regions", value["to"])
+            faults += self._name_faults(f"{path}/service", "services", value["service"])
+            faults += self._name_faults(f"{path}/from", "regions", value["from"])
+            faults += self._name_faults(f"{path}/to", "regions", value["to"])
         return faults
 
-    def _place(self, path, value):
-        faults = self._name(f"{path}/region", "regions", value["region"])
+    def _location_faults(self, path, value):
+        faults = self._name_faults(f"{path}/region", "regions", value["region"])
         if self.domains.get(value["domain"]) != value["region"]:
             message = f"not a failure domain of region {value['region']}"
             faults.append(Fault(self.file, f"{path}/domain", value["domain"], message))
         return faults
 
-    def _name(self, path, section, name):
-        if name in self.known[section]:
+    def _name_faults(self, path, section, name):
+        if name in self.defined[section]:
             return []
-        near = difflib.get_close_matches(name, self.known[section], n=1, cutoff=0.0)
-        hint = f'; nearest known name is "{near[0]}"' if near else ""
+        nearest = difflib.get_close_matches(
+            name, self.defined[section], n=1, cutoff=0.0
+        )
+        hint = f'; nearest known name is "{nearest[0]}"' if nearest else ""
         return [Fault(self.file, path, name, f"not defined in {section}{hint}")]
--- a/quetzalwall/version/compile.py
+++ b/quetzalwall/version/compile.py
@@ -1,4 +1,4 @@
-"""Turn a settings tree into what the decisions use."""
+"""Compile a settings tree into a configuration and the entries of endpoints."""
 
 from typing import NamedTuple
 
@@ -15,27 +15,28 @@
 
 __all__ = ["CompiledTree", "compile_tree"]
 
-ATTEMPTS = 2  # endpoints to which one request may be sent
+MAX_ATTEMPTS = 2  # endpoints to which one request may be sent
 HEALTH_PATH = "/health"
-CONNECTIONS = 400  # of one endpoint, where its settings name no limit
-LEAST_TARGET_PART = 0.25  # of a class's longest duration, where it names no target
+MAX_CONNECTIONS = 400  # to one endpoint; the settings tree has no key for it
+# Target of a class that sets none, as a fraction of its maximum duration.
+DEFAULT_TARGET_FRACTION = 0.25
 
 
 class CompiledTree(NamedTuple):
-    """One accepted version of the settings tree.
+    """Compiled form of one version of the settings tree.
 
     Attributes
     ----------
     cfg : Configuration
         Routes and services.
     entries : list of EndpointEntry
-        The endpoints.
+        Entries of all endpoints.
     domains : dict of str to str
         Region of each failure domain.
     lookup_ttl_s : float
-        Seconds for which callers may keep a look-up's answer.
+        Seconds for which callers may cache a look-up response.
     max_lookup_instances : int
-        Instances that it names at most.
+        Maximum number of instances in a look-up response.
     """
 
     cfg: Configuration
@@ -46,7 +47,7 @@
 
 
 def compile_tree(version, tree):
-    """Return what a checked settings tree says, in the terms of the decisions.
+    """Return the compiled form of a checked settings tree.
 
     Parameters
     ----------
@@ -62,14 +63,16 @@
     merged = merge_tree(tree)
     hosts, services, entries = {}, {}, []
     for name, spec in merged["services"].items():
-        hosts[name] = _routes(name, spec, merged["classes"])
-        services[name] = _service(name, spec)
-        entries += _entries(name, spec, merged["leaving"]["endpoints"])
-    shifts = tuple(_shift(name, spec) for name, spec in merged["shifts"].items())
-    longest = [spec.get("max_body_bytes") for spec in merged["services"].values()]
+        hosts[name] = _compile_routes(name, spec, merged["classes"])
+        services[name] = _compile_service(name, spec)
+        entries += _compile_entries(name, spec, merged["leaving"]["endpoints"])
+    shifts = tuple(
+        _compile_shift(name, spec) for name, spec in merged["shifts"].items()
+    )
+    body_limits = [spec.get("max_body_bytes") for spec in merged["services"].values()]
     limits = Limits(
         max_body_bytes=max(
-            [size for size in longest if size], default=Limits().max_body_bytes
+            [size for size in body_limits if size], default=Limits().max_body_bytes
         )
     )
     domains = {
@@ -82,22 +85,26 @@
     return CompiledTree(cfg, entries, domains, lookup["ttl_s"], lookup["answers"])
 
 
-def _routes(service, spec, classes):
-    return HostRoutes(_route(service, route, classes) for route in spec["routes"])
+def _compile_routes(service, spec, classes):
+    return HostRoutes(
+        _compile_route(service, route, classes) for route in spec["routes"]
+    )
 
 
-def _route(service, spec, classes):
-    work_class = classes[spec["class"]]
-    longest_s = work_class["max_duration_s"]
+def _compile_route(service, spec, classes):
+    request_class = classes[spec["class"]]
+    max_duration_s = request_class["max_duration_s"]
     return Route(
         name=f"{service}{spec['prefix']}",
         host=service,
         prefix=spec["prefix"],
         idempotent=spec["idempotent"],
-        timeout_s=longest_s,
-        target_s=work_class.get("target_s", LEAST_TARGET_PART * longest_s),
-        rank=work_class["rank"],
-        attempts=ATTEMPTS,
+        timeout_s=max_duration_s,
+        target_s=request_class.get(
+            "target_s", DEFAULT_TARGET_FRACTION * max_duration_s
+        ),
+        rank=request_class["rank"],
+        attempts=MAX_ATTEMPTS,
         sticky=True,
         regions=(),
         split=((service, 1.0),),
@@ -105,18 +112,18 @@
     )
 
 
-def _service(name, spec):
+def _compile_service(name, spec):
     return Service(
         name=name,
         health_path=HEALTH_PATH,
-        connections=CONNECTIONS,
+        max_connections=MAX_CONNECTIONS,
         cold_s=0.0,
         cold_per_s=float("inf"),
         region_limits=tuple(sorted(spec.get("region_limits", {}).items())),
     )
 
 
-def _entries(service, spec, leaving):
+def _compile_entries(service, spec, drained):
     return [
         EndpointEntry(
             name=name,
@@ -125,7 +132,7 @@
             port=endpoint["port"],
             domain=endpoint["domain"],
             slots=endpoint["slots"],
-            draining=name in leaving,
+            draining=name in drained,
             cold_s=0.0,
             incarnation=0,
         )
@@ -133,7 +140,7 @@
     ]
 
 
-def _shift(name, spec):
+def _compile_shift(name, spec):
     return Shift(
         name=name,
         service=spec["service"],
--- a/quetzalwall/version/model.py
+++ b/quetzalwall/version/model.py
@@ -1,4 +1,4 @@
-"""What one version of the configuration says, in the project's own terms."""
+"""Types of one version of the configuration, and of entries in the registry."""
 
 from typing import NamedTuple
 
@@ -15,18 +15,18 @@
 
 
 class Limits(NamedTuple):
-    """Limits on what callers may send.
+    """Limits on callers.
 
     Attributes
     ----------
     max_body_bytes : int
-        Longest body.
-    idle_s : float
+        Maximum size of a request body in bytes.
+    idle_timeout_s : float
         Seconds for which a caller may leave a connection idle.
     """
 
     max_body_bytes: int = 64 * 1024 * 1024
-    idle_s: float = 15.0
+    idle_timeout_s: float = 15.0
 
 
 class Service(NamedTuple):
@@ -38,49 +38,49 @@
         Name of the service.
     health_path : str
         Path of the health check.
-    connections : int
+    max_connections : int
         Connections that each endpoint accepts from all instances together.
     cold_s : float
         Seconds for which an endpoint is cold after its start.
     cold_per_s : float
         Requests a second that a cold endpoint tolerates, from all instances together.
     region_limits : tuple of (str, int)
-        Requests that may be open in a region, from all instances together.
+        Maximum number of open requests in a region, from all instances together.
     """
 
     name: str
     health_path: str
-    connections: int
+    max_connections: int
     cold_s: float
     cold_per_s: float
     region_limits: tuple = ()
 
 
 class Route(NamedTuple):
-    """Requests of one host below one path.
+    """Rules for the requests to one host whose paths begin with one prefix.
 
     Attributes
     ----------
     name, host, prefix : str
-        Name of the route, host and beginning of the path.
+        Name of the route, host and prefix of the path.
     idempotent : bool
         Whether a request may run more than once.
     timeout_s : float or None
-        Longest time that a caller is kept waiting.
+        Maximum time that a caller waits, in seconds; None if the route sets none.
     target_s : float
-        Response time aimed at.
+        Target response time in seconds.
     rank : int
-        0 is the most urgent.
+        Priority; 0 is the most urgent.
     attempts : int
-        Endpoints to which one request may be sent.
+        Maximum number of endpoints to which one request is sent.
     sticky : bool
-        Whether an endpoint that knows the object answers sooner.
+        Whether an endpoint that has cached the object responds sooner.
     regions : tuple of str
-        Regions that may serve it; empty for all.
+        Regions that may serve the requests; empty for all.
     split : tuple of (str, float)
         Services with their weights.
     methods : tuple of str
-        HTTP methods that it takes; empty for all.
+        HTTP methods that it matches; empty for all.
     """
 
     name: str
@@ -114,9 +114,10 @@
         self._lengths = sorted({len(p) for p in self._by_prefix}, reverse=True)
 
     def find(self, path, method):
-        """Return the route with the longest prefix that begins a path, or None.
+        """Return the route with the longest prefix of a path, or None.
 
-        Prefixes of one length are looked up at once: there may be thousands.
+        The cost depends on the number of different prefix lengths, not on the number of
+        routes, of which there may be thousands.
 
         Parameters
         ----------
@@ -142,15 +143,15 @@
     name, service : str
         Name of the shift, and the service whose requests it moves.
     source, destination : str
-        Regions; requests that arrive at instances of the first are moved.
+        Regions. The requests moved are those that arrive at instances of the source.
     fraction : float
-        Part of those requests that it moves in the end.
+        Target fraction of those requests.
     cap : int
-        Requests that it may move in any interval, over all instances.
+        Maximum number of requests moved in any interval, over all instances.
     interval_s : float
-        Length of the interval.
+        Length of the interval in seconds.
     running : bool
-        Whether the operator lets it move traffic.
+        Whether it may move requests; False once an operator has stopped it.
     """
 
     name: str
@@ -169,7 +170,7 @@
     Attributes
     ----------
     version : int
-        Grows with each change.
+        Increases with each change.
     hosts : dict of str to HostRoutes
         Routes of each host.
     services : dict of str to Service
@@ -188,28 +189,28 @@
 
 
 class EndpointEntry(NamedTuple):
-    """What the registry says of one endpoint.
+    """Registry entry of one endpoint.
 
     Attributes
     ----------
     name : str
-        Identity of this endpoint.
+        Name that identifies the endpoint.
     service : str
         Service that it serves.
     host : str
-        IP number.
+        IP address.
     port : int
         TCP port.
     domain : str
         Failure domain.
     slots : int
-        Requests that it runs at once.
+        Number of requests that it runs concurrently.
     draining : bool
         Whether it is about to stop.
     cold_s : float
-        Seconds for which it remains cold.
+        Seconds for which it will still be cold.
     incarnation : int
-        Milliseconds since the epoch at its start; 0 if not said.
+        Time of its start in milliseconds since the epoch; 0 if unknown.
     """
 
     name: str
@@ -229,11 +230,11 @@
     Parameters
     ----------
     cfg : Configuration
-        The configuration in force.
+        The active configuration.
     host : str
-        Host asked for.
+        Requested host.
     path : str
-        Path asked for.
+        Requested path.
     method : str, default=""
         HTTP method.
 
--- a/quetzalwall/version/schema.py
+++ b/quetzalwall/version/schema.py
@@ -6,7 +6,7 @@
 IP_PATTERN = r"^\d{1,3}(\.\d{1,3}){3}$"
 
 
-def _record(properties, required=()):
+def _object(properties, required=()):
     return {
         "type": "object",
         "properties": properties,
@@ -23,24 +23,24 @@
     }
 
 
-def _integer(least, most):
-    return {"type": "integer", "minimum": least, "maximum": most}
+def _integer(minimum, maximum):
+    return {"type": "integer", "minimum": minimum, "maximum": maximum}
 
 
-def _number(least, most):
-    return {"type": "number", "minimum": least, "maximum": most}
+def _number(minimum, maximum):
+    return {"type": "number", "minimum": minimum, "maximum": maximum}
 
 
 _NAME = {"type": "string", "pattern": NAME_PATTERN}
 _IP = {"type": "string", "pattern": IP_PATTERN}
 _PORT = _integer(1, 65535)
-_PLACE = {"address": _IP, "port": _PORT, "region": _NAME, "domain": _NAME}
+_LOCATION = {"address": _IP, "port": _PORT, "region": _NAME, "domain": _NAME}
 
-_REGION = _record(
+_REGION = _object(
     {"domains": {"type": "array", "items": _NAME, "minItems": 1}},
     ["domains"],
 )
-_CLASS = _record(
+_CLASS = _object(
     {
         "rank": _integer(0, 100),
         "target_s": _number(0.01, 3600),
@@ -48,7 +48,7 @@
     },
     ["rank", "max_duration_s"],
 )
-_ROUTE = _record(
+_ROUTE = _object(
     {
         "prefix": {"type": "string", "pattern": "^/"},
         "class": _NAME,
@@ -57,11 +57,11 @@
     },
     ["prefix", "class", "idempotent"],
 )
-_ENDPOINT = _record(
-    _PLACE | {"slots": _integer(1, 100_000)},
+_ENDPOINT = _object(
+    _LOCATION | {"slots": _integer(1, 100_000)},
     ["address", "port", "region", "domain", "slots"],
 )
-_SERVICE = _record(
+_SERVICE = _object(
     {
         "endpoints": _mapping(_ENDPOINT),
         "routes": {"type": "array", "items": _ROUTE, "minItems": 1},
@@ -70,7 +70,7 @@
     },
     ["endpoints", "routes"],
 )
-_SHIFT = _record(
+_SHIFT = _object(
     {
         "service": _NAME,
         "from": _NAME,
@@ -84,14 +84,14 @@
 )
 _NAMES = {"type": "array", "items": _NAME, "uniqueItems": True}
 
-SUBTREE_SCHEMA = _record(
+SUBTREE_SCHEMA = _object(
     {
         "regions": _mapping(_REGION),
         "classes": _mapping(_CLASS),
         "services": _mapping(_SERVICE),
         "shifts": _mapping(_SHIFT),
-        "leaving": _record({"endpoints": _NAMES}),
-        "lookup": _record({"ttl_s": _number(0.1, 3600), "answers": _integer(1, 16)}),
+        "leaving": _object({"endpoints": _NAMES}),
+        "lookup": _object({"ttl_s": _number(0.1, 3600), "answers": _integer(1, 16)}),
         "credentials": _mapping({"type": "string", "pattern": "^[0-9a-f]{64}$"}),
     }
 )
--- a/quetzalwall/version/settings_store.py
+++ b/quetzalwall/version/settings_store.py
@@ -1,8 +1,8 @@
-"""Accepted settings in the platform's table.
+"""Storage of accepted settings in the platform's store.
 
-One row holds the version over all teams and each team's version; one row a team holds
-its subtree; one row a change keeps the history. A change is one transaction, so that it
-is accepted whole or not at all.
+One row holds the version over all teams and the version of each team. Each team has a
+row with its subtree, and each change a row of the history. A change is one transaction,
+so that it is accepted completely or not at all.
 """
 
 import time
@@ -19,13 +19,13 @@
 
 __all__ = ["history", "put_subtree", "read_head"]
 
-MOST_TRIES = 20
+MAX_TRIES = 20
 RETRY_PAUSE_S = 0.1
 EMPTY_HEAD = {"version": 0, "teams": {}, "token": ""}
 
 
 def read_head(table):
-    """Return the version row.
+    """Return the head row, which holds the versions.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
     Raises
     ------
     StoreUnavailable
-        No answer arrived.
+        No response arrived.
     """
     return table.read([HEAD_KEY])[HEAD_KEY].value or EMPTY_HEAD
 
@@ -53,17 +53,17 @@
     table : StoreTable
         Rows of the store.
     team : str
-        The team.
+        Name of the team.
     subtree : dict
         Its new subtree.
     base : int
         Version of the subtree that the change was made from.
     author : str
-        Recorded in the history.
+        Author recorded in the history.
     wall : callable, default=time.time
-        Seconds since the epoch, recorded in the history.
+        Returns the seconds since the epoch, which are recorded in the history.
     sleep : callable, default=time.sleep
-        Waits between tries.
+        Waits a number of seconds between tries.
 
     Returns
     -------
@@ -75,14 +75,14 @@
     SettingsConflict
         The subtree changed since ``base``.
     SettingsError
-        The tree would have faults.
+        The changed tree would have faults.
     StoreUnavailable
-        No answer arrived; the change may have been accepted.
+        No response arrived; the change may have been accepted.
     """
     token = uuid4().hex
     first_version = None
     last_error = None
-    for _ in range(MOST_TRIES):
+    for _ in range(MAX_TRIES):
         try:
             head_row, head, tree = _read_consistent(table)
             if first_version is None:
@@ -90,7 +90,7 @@
             accepted = _accepted_version(table, token, first_version, head["version"])
             if accepted is not None:
                 return accepted
-            change = _prepare(team, subtree, base, head, tree, token)
+            change = _prepare_change(team, subtree, base, head, tree, token)
             change["author"] = author
             change["at"] = wall()
             if _write(table, head_row, change):
@@ -99,7 +99,7 @@
             last_error = exc
             sleep(RETRY_PAUSE_S)
     raise StoreUnavailable(
-        f"change {token} may have been accepted: {last_error or 'too many changes'}",
+        f"change {token} may have been accepted: {last_error or 'too many conflicts'}",
         step="put settings",
         peer="table",
     )
@@ -113,7 +113,7 @@
     table : StoreTable
         Rows of the store.
     limit : int, default=100
-        Changes at most.
+        Maximum number of changes.
 
     Returns
     -------
@@ -127,18 +127,20 @@
 
 def _read_consistent(table):
     """Return the head row, its value and the subtrees that belong to it."""
-    for _ in range(MOST_TRIES):
+    for _ in range(MAX_TRIES):
         head_row = table.read([HEAD_KEY])[HEAD_KEY]
         head = head_row.value or EMPTY_HEAD
         keys = {team: team_key(team) for team in head["teams"]}
         rows = table.read([*keys.values(), HEAD_KEY])
         if rows[HEAD_KEY].version == head_row.version:
             return head_row, head, {t: rows[key].value for t, key in keys.items()}
-    raise StoreUnavailable("settings change too fast", "read settings", "table")
+    raise StoreUnavailable(
+        "settings changed during each read", "read settings", "table"
+    )
 
 
 def _accepted_version(table, token, first, newest):
-    """Return the version that a transaction of ours produced, if its reply was lost."""
+    """Return the version that an earlier try with a lost response produced, or None."""
     if first == newest:
         return None
     for row in table.read_range(history_key(first + 1), history_key(newest + 1)):
@@ -147,7 +149,7 @@
     return None
 
 
-def _prepare(team, subtree, base, head, tree, token):
+def _prepare_change(team, subtree, base, head, tree, token):
     current = head["teams"].get(team, 0)
     if current != base:
         raise SettingsConflict(
@@ -172,12 +174,12 @@
 def _write(table, head_row, change):
     version = change["version"]
     head = {key: change[key] for key in ("version", "teams", "token")}
-    kept = {k: v for k, v in change.items() if k not in ("teams", "subtree")}
-    # The history row guards against a transaction of ours that takes effect late.
+    record = {k: v for k, v in change.items() if k not in ("teams", "subtree")}
+    # The check on the history row protects against an earlier try that is applied late.
     checks = {HEAD_KEY: head_row.version, history_key(version): 0}
     writes = {
         HEAD_KEY: head,
         team_key(change["team"]): change["subtree"],
-        history_key(version): kept,
+        history_key(version): record,
     }
     return table.transact(checks, writes).committed
--- a/quetzalwall/version/tree.py
+++ b/quetzalwall/version/tree.py
@@ -1,4 +1,4 @@
-"""The settings tree: one subtree for each team, merged into one configuration."""
+"""The settings tree, which has one subtree for each team, and its row keys."""
 
 import json
 
@@ -57,7 +57,7 @@
     Parameters
     ----------
     tree : dict
-        Team to subtree; checked, so that no name stands in two teams.
+        Team to subtree; checked, so that no name is defined by two teams.
 
     Returns
     -------
@@ -90,12 +90,12 @@
     old, new : object
         Decoded JSON.
     path : str, default=""
-        Path of both in the whole tree.
+        Path of both from the root of the tree.
 
     Returns
     -------
     list of str
-        One line a leaf: ``-`` for removed, ``+`` for added.
+        One line for each leaf: ``-`` for removed, ``+`` for added.
 
     Examples
     --------
