--- a/quetzalwall/platform/tests/test_rows.py
+++ b/quetzalwall/platform/tests/test_rows.py
@@ -1,3 +1,5 @@
+"""Decoding of the platform's configuration, endpoint entries and durations."""
+
 import json
 
 from nose2.tools import params
@@ -15,14 +17,14 @@
 )
 from quetzalwall.version.model import find_route
 
-PLACE = ("127.0.0.1", 80)
+ADDRESS = ("127.0.0.1", 80)
 
 
-def decode(body):
+def decode_body(body):
     return decode_configuration(json.dumps(body).encode())
 
 
-def error_of(decode, *args):
+def error_message(decode, *args):
     try:
         decode(*args)
     except RowError as exc:
@@ -30,22 +32,22 @@
     raise AssertionError("accepted")
 
 
-def test_configuration_is_decoded_into_own_terms():
+def test_configuration_is_decoded():
     split = [{"service": "desk", "weight": 90}, {"service": "spare", "weight": 10}]
     rows = [route_row("look", "/look/"), route_row("s", "/s/", "upload", split=split)]
-    cfg = decode(config_body(7, rows, ("desk", "spare")))
+    cfg = decode_body(config_body(7, rows, ("desk", "spare")))
     assert cfg.version == 7
     look = find_route(cfg, "shop.example", "/look/1")
     assert look.idempotent and look.timeout_s == 2.0 and look.target_s == 0.5
-    part = find_route(cfg, "shop.example", "/s/x")
-    assert not part.idempotent
-    assert part.split == (("desk", 90.0), ("spare", 10.0))
+    split_route = find_route(cfg, "shop.example", "/s/x")
+    assert not split_route.idempotent
+    assert split_route.split == (("desk", 90.0), ("spare", 10.0))
     assert cfg.services["desk"].cold_s == 3.0
 
 
 def test_longest_prefix_wins():
     rows = [route_row("a", "/x/"), route_row("b", "/x/y/")]
-    cfg = decode(config_body(1, rows))
+    cfg = decode_body(config_body(1, rows))
     assert find_route(cfg, "shop.example", "/x/y/z").name == "b"
     assert find_route(cfg, "shop.example", "/x/z").name == "a"
     assert find_route(cfg, "shop.example", "/z") is None
@@ -59,27 +61,27 @@
     ("services", {"columns": ["name"], "rows": [["desk", 1]]}, "/services/0"),
     ("services", {"columns": [], "rows": []}, "unknown service"),
 )
-def test_faulty_configuration_names_the_place(key, value, expected):
+def test_error_of_malformed_configuration_has_the_path(key, value, expected):
     body = config_body() | {key: value}
-    assert expected in error_of(decode, body)
+    assert expected in error_message(decode_body, body)
 
 
 @params(
     ("kind", 3, "odd"), ("timeout", 4, "fast"), ("hostname", 1, None), ("x", 2, "look/")
 )
-def test_faulty_route_is_refused(name, column, value):
+def test_malformed_route_is_rejected(name, column, value):
     row = route_row("look", "/look/")
     row[column] = value
-    assert "/routes/0" in error_of(decode, config_body(1, [row]))
+    assert "/routes/0" in error_message(decode_body, config_body(1, [row]))
 
 
 @params(b"", b"{", b"[]", b"\xff\xfe", b'{"version":"r1"}')
-def test_unreadable_configuration_is_refused(raw):
-    assert error_of(decode_configuration, raw)
+def test_undecodable_configuration_is_rejected(raw):
+    assert error_message(decode_configuration, raw)
 
 
-def test_endpoint_entry():
-    body = entry_body(PLACE, state="draining", coldLeft="1500ms")
+def test_endpoint_entry_is_decoded():
+    body = entry_body(ADDRESS, state="draining", coldLeft="1500ms")
     entry = decode_endpoint("i-1", json.dumps(body).encode())
     assert entry.draining and entry.cold_s == 1.5
     assert (entry.name, entry.host, entry.port) == ("i-1", "127.0.0.1", 80)
@@ -97,16 +99,16 @@
     {"coldLeft": "soon"},
     {"service": 4},
 )
-def test_entry_of_another_writer_names_no_endpoint(change):
-    body = entry_body(PLACE) | change
-    assert "/i-1" in error_of(decode_endpoint, "i-1", json.dumps(body).encode())
+def test_malformed_endpoint_entry_is_rejected(change):
+    body = entry_body(ADDRESS) | change
+    assert "/i-1" in error_message(decode_endpoint, "i-1", json.dumps(body).encode())
 
 
 @params(("1500ms", 1.5), ("2.5s", 2.5), ("0ms", 0.0))
-def test_duration(text, seconds):
+def test_duration_is_parsed(text, seconds):
     assert parse_duration_s(text) == seconds
 
 
 @params("", "3", "ms", "3 s", None, 3)
-def test_faulty_duration(text):
-    assert error_of(parse_duration_s, text)
+def test_malformed_duration_is_rejected(text):
+    assert error_message(parse_duration_s, text)
--- a/quetzalwall/platform/tests/test_settings.py
+++ b/quetzalwall/platform/tests/test_settings.py
@@ -1,3 +1,5 @@
+"""Reading of settings files, written by hand or rendered by the platform."""
+
 import json
 import os
 import tempfile
@@ -14,7 +16,7 @@
 from quetzalwall.tests.platform_fixtures import settings_body, write_settings
 
 PORTS = [1, 2, 3, 4, 5, 6]
-FIELDS = {  # of the platform
+PLATFORM_FIELDS = {
     "nodeName": "front-north-a-1",
     "role": "entry",
     "ip": "10.1.0.35",
@@ -37,7 +39,7 @@
 }
 
 
-def body():
+def default_body():
     return settings_body("127.0.0.1", ("127.0.0.1", 9), PORTS)
 
 
@@ -48,7 +50,7 @@
         return read_settings(file.name, *options)
 
 
-def faults_of(changed):
+def read_faults(changed):
     file = write_settings(changed)
     try:
         read_settings(file)
@@ -60,7 +62,9 @@
 
 
 def test_settings_are_read_with_their_bounds():
-    file = write_settings(body() | {"bounds": {"grace": "6s", "coldSlack": "5"}})
+    file = write_settings(
+        default_body() | {"bounds": {"grace": "6s", "coldSlack": "5"}}
+    )
     settings = read_settings(file)
     os.unlink(file)
     assert settings.bounds.grace_s == 6.0
@@ -68,10 +72,10 @@
     assert settings.listen.callers == ("127.0.0.1", 1)
 
 
-def test_all_faults_are_named_at_once_with_file_path_and_value():
-    changed = body() | {"address": "here", "store": "there"}
+def test_all_faults_are_reported_with_file_path_and_value():
+    changed = default_body() | {"address": "here", "store": "there"}
     changed["listen"]["callers"] = "nowhere"
-    file, faults = faults_of(changed)
+    file, faults = read_faults(changed)
     found = {(fault.file, fault.path, fault.value) for fault in faults}
     assert (file, "/address", "here") in found
     assert (file, "/store", "there") in found
@@ -79,27 +83,27 @@
 
 
 @params(("grace", "long"), ("maxShift", "much"), ("drain", None))
-def test_faulty_bound_is_named(name, value):
+def test_malformed_bound_is_reported(name, value):
     ignored = []
-    read_text(json.dumps(body() | {"bounds": {name: value}}), ignored)
+    read_text(json.dumps(default_body() | {"bounds": {name: value}}), ignored)
     assert [fault.path for fault in ignored] == [f"/bounds/{name}"]
 
 
-def test_bounds_that_are_not_known_are_ignored():
-    file = write_settings(body() | {"bounds": {"newBound": "a lot"}})
+def test_unknown_bounds_are_ignored():
+    file = write_settings(default_body() | {"bounds": {"newBound": "a lot"}})
     assert read_settings(file)
     os.unlink(file)
 
 
-def from_platform(**changed):
-    """Return a file as the platform fills in the template."""
+def render_template(**changed):
+    """Return the template as the platform renders it, with some fields changed."""
     with open("deploy/settings.json.template", encoding="utf-8") as file:
         template = file.read()
-    return template.replace("{{.|json}}", json.dumps(FIELDS | changed))
+    return template.replace("{{.|json}}", json.dumps(PLATFORM_FIELDS | changed))
 
 
-def test_template_holds_every_field_that_settings_need():
-    assert read_text(from_platform()) == InstanceSettings(
+def test_template_has_every_field_that_settings_need():
+    assert read_text(render_template()) == InstanceSettings(
         instance="front-north-a-1",
         address="10.1.0.35",
         region="north",
@@ -123,30 +127,30 @@
     )
 
 
-# An instance did not start where the bounds came as texts instead of a table.
+# An instance did not start if the bounds were strings instead of a dictionary.
 @params(["grace=7s", "coldSlack=6"], "grace=7s,coldSlack=6", {"grace": "7s"})
 def test_bounds_are_read_in_each_form(bounds):
-    assert read_text(from_platform(bounds=bounds)).bounds.grace_s == 7.0
+    assert read_text(render_template(bounds=bounds)).bounds.grace_s == 7.0
 
 
-# An instance did not start where the platform had no value for what it can do without.
+# An instance did not start if the platform had no value for an optional field.
 @params("seeds", "limits", "bounds", "zones", "role", "contracts")
-def test_an_instance_does_without_what_the_platform_lacks(name):
-    settings = read_text(from_platform(**{name: None}))
+def test_optional_platform_fields_may_be_null(name):
+    settings = read_text(render_template(**{name: None}))
     assert settings.domain == "north-a" and settings.region == "north"
 
 
 @params("nodeName", "ip", "zone", "listen", "portRange", "platform")
-def test_what_is_needed_is_missed_by_its_name(name):
+def test_null_in_required_platform_field_is_rejected(name):
     try:
-        read_text(from_platform(**{name: None}))
+        read_text(render_template(**{name: None}))
     except SettingsError as exc:
         assert "is a required property" in exc.message
     else:
         raise AssertionError("accepted")
 
 
-# An instance did not start where a value that it can do without could not be read.
+# An instance did not start if the value of an optional field was malformed.
 @params(
     ({"limits": {"memoryMb": "much"}}, "/memory_mb"),
     ({"limits": {"maxFds": 0}}, "/connections"),
@@ -156,57 +160,62 @@
     ({"bounds": {"grace": "long"}}, "/bounds/grace"),
     ({"bounds": 7}, "/bounds"),
 )
-def test_what_can_not_be_read_is_named(changed, path):
+def test_malformed_optional_value_is_reported(changed, path):
     ignored = []
-    read_text(from_platform(**changed), ignored)
+    read_text(render_template(**changed), ignored)
     assert [fault.path for fault in ignored] == [path]
 
 
-def test_what_can_be_read_stays_beside_what_can_not():
+def test_well_formed_values_are_kept_beside_malformed_ones():
     seeds = ["front-1", "10.2.0.28:8146"]
     bounds = {"grace": "long", "coldSlack": 6}
-    settings = read_text(from_platform(seeds=seeds, bounds=bounds))
+    settings = read_text(render_template(seeds=seeds, bounds=bounds))
     assert settings.seeds == [("10.2.0.28", 8146)]
     assert settings.bounds == Bounds(cold_slack=6.0)
 
 
-# A running instance must not fall back to a default for a value that it can't read.
+# A running instance must keep its values, not use defaults, for malformed ones.
 @params(
     {"seeds": "10.9.9.9:1", "bounds": {"grace": "long", "coldSlack": 7}},
     {"seeds": ["10.9.9.9"], "bounds": {"grace": True, "coldSlack": 7}},
 )
-def test_former_values_hold_for_what_can_not_be_read(changed):
-    former = read_text(from_platform())
-    settings = read_text(from_platform(**changed), [], former)
-    assert settings.seeds == former.seeds
-    assert settings.bounds == former.bounds._replace(cold_slack=7.0)
+def test_previous_values_replace_malformed_ones(changed):
+    previous = read_text(render_template())
+    settings = read_text(render_template(**changed), [], previous)
+    assert settings.seeds == previous.seeds
+    assert settings.bounds == previous.bounds._replace(cold_slack=7.0)
 
 
-def test_former_bounds_hold_where_none_can_be_read():
-    former = read_text(from_platform())
-    assert read_text(from_platform(bounds=7), [], former).bounds == former.bounds
-    assert read_text(from_platform(bounds=None), [], former).bounds == Bounds()
+def test_previous_bounds_replace_malformed_table():
+    previous = read_text(render_template())
+    assert read_text(render_template(bounds=7), [], previous).bounds == previous.bounds
+    assert read_text(render_template(bounds=None), [], previous).bounds == Bounds()
 
 
-# A template gives null for what an installation lacks; the instance did not start.
+# The template renders null for a value that the platform lacks, and the instance did
+# not start.
 @params("seeds", "link_mbps", "memory_mb", "connections", "bounds", "configuration")
-def test_a_field_without_a_value_counts_as_not_given(name):
-    whole, without, null = (write_settings(b) for b in _variants(name))
+def test_null_field_is_treated_as_absent(name):
+    given, absent, null = (write_settings(b) for b in _variants_of_field(name))
     try:
-        assert read_settings(null) == read_settings(without) != read_settings(whole)
+        assert read_settings(null) == read_settings(absent) != read_settings(given)
     finally:
-        for file in (whole, without, null):
+        for file in (given, absent, null):
             os.unlink(file)
 
 
-def _variants(name):
+def _variants_of_field(name):
     values = {"memory_mb": 77.0, "connections": 77, "seeds": ["127.0.0.1:9"]}
     values |= {"link_mbps": 7.0, "bounds": {"grace": "1s"}, "configuration": "tree"}
-    without = {key: value for key, value in body().items() if key != name}
-    return body() | {name: values[name]}, without, body() | {name: None}
+    absent = {key: value for key, value in default_body().items() if key != name}
+    return (
+        default_body() | {name: values[name]},
+        absent,
+        default_body() | {name: None},
+    )
 
 
 @params("instance", "address", "listen", "peer_ports", "store")
-def test_a_required_field_without_a_value_is_a_fault(name):
-    _, faults = faults_of(body() | {name: None})
+def test_null_in_required_field_is_a_fault(name):
+    _, faults = read_faults(default_body() | {name: None})
     assert len(faults) == 1 and f"'{name}' is a required property" in faults[0].message
--- a/quetzalwall/version/tests/test_blocks.py
+++ b/quetzalwall/version/tests/test_blocks.py
@@ -1,3 +1,5 @@
+"""Assignment of blocks to sites, and the look-up of addresses in it."""
+
 import ipaddress
 
 from hypothesis import given
@@ -17,49 +19,49 @@
 }
 
 
-def sites(**weights):
-    found = {
+def make_sites(**weights):
+    sites = {
         f"s{n}": {"region": f"r{n % 2}", "weight": 1.0, "capacity": 1e9}
         for n in range(10)
     }
     for name, weight in weights.items():
-        found[name] = found[name] | {"weight": weight}
-    return found
+        sites[name] = sites[name] | {"weight": weight}
+    return sites
 
 
-def loads(assignment):
-    found = {}
+def count_blocks(assignment):
+    counts = {}
     for site in assignment.values():
-        found[site] = found.get(site, 0) + 1
-    return found
+        counts[site] = counts.get(site, 0) + 1
+    return counts
 
 
-def test_load_follows_weights():
-    found = loads(assign_blocks(BLOCKS, sites(s0=2.0)))
-    assert 1.5 < found["s0"] / found["s2"] < 2.6
-    assert sum(found.values()) == len(BLOCKS)
+def test_load_is_proportional_to_weights():
+    counts = count_blocks(assign_blocks(BLOCKS, make_sites(s0=2.0)))
+    assert 1.5 < counts["s0"] / counts["s2"] < 2.6
+    assert sum(counts.values()) == len(BLOCKS)
 
 
 def test_change_of_one_weight_moves_only_blocks_of_that_site():
-    old = assign_blocks(BLOCKS, sites())
+    old = assign_blocks(BLOCKS, make_sites())
     for weight in (0.5, 3.0):
-        new = reassign_regions(old, BLOCKS, sites(s4=weight), ["r0"])
-        assert new == assign_blocks(BLOCKS, sites(s4=weight))
+        new = reassign_regions(old, BLOCKS, make_sites(s4=weight), ["r0"])
+        assert new == assign_blocks(BLOCKS, make_sites(s4=weight))
         moved = assignment_delta(old, new)
         assert moved
         assert all("s4" in (old[block], site) for block, site in moved.items())
 
 
-def test_site_without_weight_gets_nothing():
-    assert "s3" not in loads(assign_blocks(BLOCKS, sites(s3=0.0)))
+def test_site_without_weight_gets_no_blocks():
+    assert "s3" not in count_blocks(assign_blocks(BLOCKS, make_sites(s3=0.0)))
 
 
-def test_capacity_bounds_a_site_while_others_have_room():
-    small = sites()
-    small["s0"] = small["s0"] | {"capacity": 50.0}
-    found = loads(assign_blocks(BLOCKS, small))
-    assert found["s0"] == 50
-    assert sum(found.values()) == len(BLOCKS)
+def test_capacity_limits_a_site_while_others_have_capacity():
+    limited_sites = make_sites()
+    limited_sites["s0"] = limited_sites["s0"] | {"capacity": 50.0}
+    counts = count_blocks(assign_blocks(BLOCKS, limited_sites))
+    assert counts["s0"] == 50
+    assert sum(counts.values()) == len(BLOCKS)
 
 
 NETWORKS = st.builds(
@@ -78,15 +80,15 @@
     edges = [int(n[0]) for n in networks] + [int(n[-1]) for n in networks]
     for number in numbers + edges:
         address = ipaddress.ip_address(number)
-        holders = [n for n in networks if address in n]
+        containing = [n for n in networks if address in n]
         expected = None
-        if holders:
-            longest = max(holders, key=lambda network: network.prefixlen)
+        if containing:
+            longest = max(containing, key=lambda network: network.prefixlen)
             expected = assignment[str(longest)]
         assert find_site(table, str(address)) == expected
 
 
-def test_malformed_blocks_are_named():
+def test_error_names_malformed_block():
     for block in ("10.0.0.0", "10.0.0.1/24", "10.0.0.0/33", "x/8"):
         try:
             create_block_table({block: "s"})
--- a/quetzalwall/version/tests/test_settings.py
+++ b/quetzalwall/version/tests/test_settings.py
@@ -1,3 +1,5 @@
+"""Checks, changes and compilation of the settings tree."""
+
 import copy
 import tempfile
 
@@ -19,7 +21,7 @@
 from standins.metadata_store import load_tree
 
 
-def faults_of(change):
+def faults_after(change):
     tree = make_tree()
     change(tree)
     return [(fault.path, fault.message) for fault in check_tree(tree, "t.json")]
@@ -29,13 +31,13 @@
     assert check_tree(make_tree()) == []
 
 
-def test_all_faults_are_named_at_once():
-    def spoil(tree):
+def test_all_faults_are_reported_at_once():
+    def make_invalid(tree):
         tree["desk"]["services"]["desk"]["endpoints"]["east-ep1"]["slots"] = 0
         tree["desk"]["services"]["desk"]["max_body_byts"] = 5
         tree["network"]["regions"]["east"]["domains"] = []
 
-    found = dict(faults_of(spoil))
+    found = dict(faults_after(make_invalid))
     assert set(found) == {
         "/desk/services/desk/endpoints/east-ep1/slots",
         "/desk/services/desk/max_body_byts",
@@ -45,26 +47,28 @@
     assert message == 'unknown key; nearest known key is "max_body_bytes"'
 
 
-def test_names_that_are_not_defined_are_faults():
-    def spoil(tree):
+def test_undefined_names_are_faults():
+    def make_invalid(tree):
         endpoints = tree["desk"]["services"]["desk"]["endpoints"]
         endpoints["east-ep1"]["region"] = "easst"
         tree["desk"]["services"]["desk"]["routes"][0]["class"] = "statsu"
 
-    found = dict(faults_of(spoil))
+    found = dict(faults_after(make_invalid))
     path = "/desk/services/desk/endpoints/east-ep1/region"
     assert found[path] == 'not defined in regions; nearest known name is "east"'
     assert "/desk/services/desk/routes/0/class" in found
 
 
 def test_same_name_in_two_teams_is_a_fault():
-    def spoil(tree):
+    def make_invalid(tree):
         tree["other"] = {"services": copy.deepcopy(tree["desk"]["services"])}
 
-    assert ("/other/services/desk", "already defined by team desk") in faults_of(spoil)
+    assert ("/other/services/desk", "already defined by team desk") in faults_after(
+        make_invalid
+    )
 
 
-def test_file_that_is_not_json_is_named():
+def test_error_names_file_that_is_not_json():
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         for text in ("{", '{"a": 1, "a": 2}', "[" * 100_000):
             file.seek(0)
@@ -90,7 +94,7 @@
     return run
 
 
-def in_store(store):
+def read_stored_tree(store):
     rows = {
         key: value
         for (name, _, key), (value, _) in store.rows.items()
@@ -111,23 +115,23 @@
     network["lookup"]["ttl_s"] = 9
     assert put(table, "desk", desk, 1) == 2
     assert put(table, "network", network, 1) == 3
-    configuration = in_store(store)
+    configuration = read_stored_tree(store)
     assert configuration.team_versions == {"desk": 2, "network": 2}
     assert merge_tree(configuration.tree)["lookup"]["ttl_s"] == 9
     assert [row["team"] for row in history(table)] == ["desk", "network"]
 
 
 @with_store
-def test_lost_reply_is_resolved_and_the_change_made_once(store, table, tree):
+def test_change_with_lost_response_is_made_once(store, table, tree):
     store.set_faults(lose_replies=1)
     desk = copy.deepcopy(tree["desk"])
     desk["services"]["desk"]["max_body_bytes"] = 5
     assert put(table, "desk", desk, 1) == 2
-    assert in_store(store).version == 2
+    assert read_stored_tree(store).version == 2
 
 
 @with_store
-def test_late_write_of_a_lost_change_undoes_nothing(store, table, tree):
+def test_late_write_after_a_lost_response_has_no_effect(store, table, tree):
     store.set_faults(lose_replies=1, late_s=0.5)
     desk = copy.deepcopy(tree["desk"])
     desk["services"]["desk"]["max_body_bytes"] = 5
@@ -136,13 +140,13 @@
     newer = put(table, "desk", desk, 2)
     assert (version, newer) == (2, 3)
     gevent.sleep(0.6)
-    found = in_store(store)
+    found = read_stored_tree(store)
     assert found.version == 3
     assert merge_tree(found.tree)["services"]["desk"]["max_body_bytes"] == 6
 
 
 @with_store
-def test_conflict_shows_both_versions(store, table, tree):
+def test_conflict_has_both_versions(store, table, tree):
     put(table, "desk", tree["desk"], 1)
     try:
         put(table, "desk", tree["desk"], 1)
@@ -152,7 +156,7 @@
         assert exc.subtree == tree["desk"]
 
 
-def test_compiled_tree_says_what_the_settings_say():
+def test_compiled_tree_matches_settings():
     tree = make_tree()
     service = tree["desk"]["services"]["desk"]
     service["region_limits"] = {"east": 5}
