--- a/quetzalwall/process/front_interfaces.py
+++ b/quetzalwall/process/front_interfaces.py
@@ -171,7 +171,7 @@
     if table in front.cluster_state.tables and after.isdigit():
         exported = front.cluster_state.export(table, int(after))
     if exported is None:
-        return json_response(start_response, 404, {"error": "table not available"})
+        return json_response(start_response, 404, {"error": "not known here"})
     return json_response(start_response, 200, exported)
 
 
--- a/quetzalwall/process/front_metrics.py
+++ b/quetzalwall/process/front_metrics.py
@@ -25,7 +25,7 @@
         self._lookups = self._counter("lookups", [])
         self._durations = Histogram(
             "quetzalwall_request_seconds",
-            "Seconds from the arrival of a request to its response",
+            "From a request's arrival to its answer",
             ["route"],
             buckets=DURATION_BUCKETS_S,
             registry=self.registry,
