--- a/quetzalwall/cli/client.py
+++ b/quetzalwall/cli/client.py
@@ -1,4 +1,4 @@
-"""What the subcommands share: calls to instances, and output."""
+"""Shared code of the subcommands: options, requests to instances, and output."""
 
 import json
 import os
@@ -7,31 +7,31 @@
 from quetzalwall.exceptions import PeerError
 
 __all__ = [
-    "CONFLICT",
-    "FAILURE",
-    "UNKNOWN",
-    "WRONG_INPUT",
+    "EXIT_CONFLICT",
+    "EXIT_FAILURE",
+    "EXIT_INVALID_INPUT",
+    "EXIT_UNKNOWN",
     "CommandError",
     "add_common_options",
-    "call",
+    "call_any",
     "call_instance",
-    "each_instance",
+    "fetch_statuses",
     "print_table",
     "read_credential",
 ]
 
-FAILURE = 1
-WRONG_INPUT = 2
-CONFLICT = 3
-UNKNOWN = 4
-TIMEOUT_S = 10.0
+EXIT_FAILURE = 1
+EXIT_INVALID_INPUT = 2
+EXIT_CONFLICT = 3
+EXIT_UNKNOWN = 4
+CALL_TIMEOUT_S = 10.0
 DEFAULT_INSTANCE = "127.0.0.1:7100"
 INSTANCE_VARIABLE = "QUETZALWALL_INSTANCE"
 CREDENTIAL_VARIABLE = "QUETZALWALL_CREDENTIAL"
 
 
 class CommandError(Exception):
-    """A subcommand can't go on.
+    """A subcommand failed.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
         Exit status of the process.
     """
 
-    def __init__(self, message, status=FAILURE):
+    def __init__(self, message, status=EXIT_FAILURE):
         super().__init__(message)
         self.status = status
 
@@ -58,25 +58,25 @@
         "--instance",
         default=os.environ.get(INSTANCE_VARIABLE, DEFAULT_INSTANCE),
         metavar="IP:PORT",
-        help="look-up address of any instance; several may be given, separated by "
-        f"commas, and the first that answers is used (default: ${INSTANCE_VARIABLE})",
+        help="look-up address of any instance, or several separated by commas: "
+        f"the first one that responds is used (default: ${INSTANCE_VARIABLE})",
     )
     parser.add_argument("--json", action="store_true", help="print JSON")
 
 
-def call(args, method, target, body=None, headers=None):
-    """Call the first instance that answers.
+def call_any(args, method, target, body=None, headers=None):
+    """Send a request to the first instance that responds.
 
     Parameters
     ----------
     args : argparse.Namespace
-        With ``instance``.
+        With ``instance``, addresses separated by commas.
     method, target : str
         HTTP method, and path with query.
     body : object, default=None
         Sent as JSON.
     headers : dict, default=None
-        Further headers.
+        Additional headers.
 
     Returns
     -------
@@ -85,37 +85,37 @@
     Raises
     ------
     CommandError
-        No instance answered.
+        No instance responded, or an address is malformed.
 
     Notes
     -----
-    Only a reading call goes on to the next instance: another one may have taken
-    effect when its answer was lost.
+    Only a GET request is sent to the next instance after a failure. Any other request
+    may have taken effect although its response was lost.
     """
-    problems = []
-    for place in args.instance.split(","):
+    failures = []
+    for address in args.instance.split(","):
         try:
-            return call_instance(place, method, target, body, headers)
+            return call_instance(address, method, target, body, headers)
         except PeerError as exc:
-            problems.append(f"{place}: {exc.message}")
+            failures.append(f"{address}: {exc.message}")
             if method != "GET":
-                raise CommandError("; ".join(problems), UNKNOWN) from exc
-    raise CommandError(f"no instance answered: {'; '.join(problems)}")
+                raise CommandError("; ".join(failures), EXIT_UNKNOWN) from exc
+    raise CommandError(f"no instance responded: {'; '.join(failures)}")
 
 
-def call_instance(place, method, target, body=None, headers=None):
-    """Call one instance.
+def call_instance(address, method, target, body=None, headers=None):
+    """Send a request to one instance.
 
     Parameters
     ----------
-    place : str
-        IP number and port.
+    address : str
+        IP address and port.
     method, target : str
         HTTP method, and path with query.
     body : object, default=None
         Sent as JSON.
     headers : dict, default=None
-        Further headers.
+        Additional headers.
 
     Returns
     -------
@@ -124,22 +124,24 @@
     Raises
     ------
     PeerError
-        No answer arrived.
+        No valid response arrived in time.
     CommandError
-        ``place`` is malformed.
+        ``address`` is malformed.
     """
-    host, _, port = place.partition(":")
+    host, _, port = address.partition(":")
     if not port.isdigit():
-        raise CommandError(f"--instance: {place!r} is not IP:PORT", WRONG_INPUT)
-    client = create_json_client(host, int(port), place, timeout_s=TIMEOUT_S)
+        raise CommandError(
+            f"--instance: {address!r} is not IP:PORT", EXIT_INVALID_INPUT
+        )
+    client = create_json_client(host, int(port), address, timeout_s=CALL_TIMEOUT_S)
     try:
         return client.call(method, target, body, headers=headers)
     finally:
         client.close()
 
 
-def each_instance(args):
-    """Return the status of every instance that may run.
+def fetch_statuses(args):
+    """Return the status of every instance that the first responding one knows.
 
     Parameters
     ----------
@@ -149,15 +151,21 @@
     Returns
     -------
     dict of str to dict or None
-        Instance to its status; None if it did not answer.
+        Name of the instance to its status, or None if it did not respond. Sorted
+        by name.
+
+    Raises
+    ------
+    CommandError
+        No instance responded, or an address is malformed.
     """
-    found = {}
-    for name, place in call(args, "GET", "/status").body["instances"].items():
+    statuses = {}
+    for name, address in call_any(args, "GET", "/status").body["instances"].items():
         try:
-            found[name] = call_instance(place, "GET", "/status").body
+            statuses[name] = call_instance(address, "GET", "/status").body
         except PeerError:
-            found[name] = None
-    return dict(sorted(found.items()))
+            statuses[name] = None
+    return dict(sorted(statuses.items()))
 
 
 def read_credential(args):
@@ -175,7 +183,7 @@
     Raises
     ------
     CommandError
-        There is none, or the file can't be read.
+        No credential is given, or the file can't be read.
     """
     if args.credential_file:
         try:
@@ -183,17 +191,17 @@
                 return file.read().strip()
         except OSError as exc:
             message = f"{args.credential_file}: {exc.strerror}"
-            raise CommandError(message, WRONG_INPUT) from exc
+            raise CommandError(message, EXIT_INVALID_INPUT) from exc
     credential = os.environ.get(CREDENTIAL_VARIABLE, "")
     if not credential:
         raise CommandError(
-            f"give --credential-file or set {CREDENTIAL_VARIABLE}", WRONG_INPUT
+            f"give --credential-file or set {CREDENTIAL_VARIABLE}", EXIT_INVALID_INPUT
         )
     return credential
 
 
 def print_table(args, rows, columns):
-    """Print rows as a table, or as JSON if asked for.
+    """Print rows as a table, or as JSON with ``--json``.
 
     Parameters
     ----------
@@ -202,7 +210,7 @@
     rows : list of dict
         The rows.
     columns : sequence of str
-        Keys, in order; also the headings.
+        Keys of the columns in their order, also used as headings. JSON has all keys.
     """
     if args.json:
         print(json.dumps(rows, indent=2, sort_keys=True))
--- a/quetzalwall/cli/front_command.py
+++ b/quetzalwall/cli/front_command.py
@@ -1,9 +1,9 @@
-"""``quetzalwall front``: the daemon of an instance on the platform."""
+"""``quetzalwall front``: run the daemon of an instance."""
 
 import argparse
 import sys
 
-from quetzalwall.cli.client import WRONG_INPUT
+from quetzalwall.cli.client import EXIT_INVALID_INPUT
 from quetzalwall.exceptions import SettingsError
 from quetzalwall.logs import setup_bounded_logs
 from quetzalwall.platform.settings import (
@@ -16,52 +16,52 @@
 
 __all__ = ["add_parser"]
 
-EXAMPLE = """example:
+EXAMPLES = """example:
   quetzalwall front --settings settings.json --check
 """
 
 
-def add_parser(commands):
+def add_parser(subparsers):
     """Add the subcommand.
 
     Parameters
     ----------
-    commands : argparse action
-        Collects subcommands.
+    subparsers : argparse action
+        Return value of ``ArgumentParser.add_subparsers``.
     """
-    parser = commands.add_parser(
+    parser = subparsers.add_parser(
         "front",
-        help="run the daemon of an instance on the platform",
-        epilog=EXAMPLE,
+        help="run the daemon of an instance",
+        epilog=EXAMPLES,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     parser.add_argument(
         "--settings",
         metavar="FILE",
         default=settings_path(),
-        help="settings file; the platform's if not given",
+        help="settings file (default: the one that the platform provides)",
     )
     parser.add_argument(
-        "--check", action="store_true", help="check the settings and exit"
+        "--check", action="store_true", help="check the settings file and exit"
     )
     parser.set_defaults(run=_run)
 
 
 def _run(args):
     if not args.settings:
-        print("quetzalwall: no settings file is named", file=sys.stderr)
-        return WRONG_INPUT
+        print("quetzalwall: no settings file given, see --settings", file=sys.stderr)
+        return EXIT_INVALID_INPUT
     ignored = []
     try:
         settings = read_settings(args.settings, ignored)
     except SettingsError as exc:
         print(exc.message, file=sys.stderr)
-        return WRONG_INPUT
+        return EXIT_INVALID_INPUT
     if args.check:
         for fault in ignored:
             print(fault, file=sys.stderr)
         if ignored:
-            return WRONG_INPUT
+            return EXIT_INVALID_INPUT
         print(f"{args.settings}: ok")
         return 0
     setup_bounded_logs()
--- a/quetzalwall/cli/main.py
+++ b/quetzalwall/cli/main.py
@@ -12,12 +12,12 @@
 
 
 def create_parser(names=COMMANDS):
-    """Return the parser of subcommands.
+    """Return the parser of the command line.
 
     Parameters
     ----------
     names : sequence of str, default=COMMANDS
-        The subcommands; only what they need is imported.
+        Subcommands to add; the modules of others are not imported.
 
     Returns
     -------
@@ -26,9 +26,9 @@
     parser = argparse.ArgumentParser(
         prog="quetzalwall", description="Global traffic steering."
     )
-    commands = parser.add_subparsers(dest="command", required=True)
+    subparsers = parser.add_subparsers(dest="command", required=True)
     for name in names:
-        import_module(f"quetzalwall.cli.{name}_command").add_parser(commands)
+        import_module(f"quetzalwall.cli.{name}_command").add_parser(subparsers)
     return parser
 
 
@@ -38,18 +38,19 @@
     Parameters
     ----------
     argv : sequence of str, default=None
-        Arguments; those of the process if None.
+        Command-line arguments; those of the process if None.
 
     Returns
     -------
     int
-        Exit status: 0 for success, 1 for failure, 2 for wrong arguments or settings,
-        3 for a conflict, 4 if the outcome is not known or not everywhere yet.
+        Exit status: 0 for success, 1 for failure, 2 for invalid arguments or
+        settings, 3 for a conflict with another change, 4 if the outcome is unknown or
+        a change is not active on all instances yet.
     """
-    given = sys.argv[1:] if argv is None else argv
-    # A daemon's start costs less processor time without the other subcommands.
-    named = [name for name in COMMANDS if given[:1] == [name]]
-    args = create_parser(named or COMMANDS).parse_args(argv)
+    arguments = sys.argv[1:] if argv is None else argv
+    # Not importing the other subcommands saves CPU time at the start of a daemon.
+    selected = [name for name in COMMANDS if arguments[:1] == [name]]
+    args = create_parser(selected or COMMANDS).parse_args(argv)
     try:
         return args.run(args)
     except CommandError as exc:
--- a/quetzalwall/cli/shift_command.py
+++ b/quetzalwall/cli/shift_command.py
@@ -5,15 +5,15 @@
 from quetzalwall.cli.client import (
     CommandError,
     add_common_options,
-    call,
-    each_instance,
+    call_any,
+    fetch_statuses,
     print_table,
 )
 from quetzalwall.cli.settings_command import add_put_options, put_and_wait
 
 __all__ = ["add_parser"]
 
-EXAMPLE = """examples:
+EXAMPLES = """examples:
   quetzalwall shift start to-south --team desk --service order-desk \\
       --from north --to south --fraction 0.5 --cap 20 --interval 1
   quetzalwall shift status
@@ -21,22 +21,22 @@
 """
 
 
-def add_parser(commands):
+def add_parser(subparsers):
     """Add the subcommand.
 
     Parameters
     ----------
-    commands : argparse action
-        Collects subcommands.
+    subparsers : argparse action
+        Return value of ``ArgumentParser.add_subparsers``.
     """
-    parser = commands.add_parser(
+    parser = subparsers.add_parser(
         "shift",
         help="move traffic between regions",
-        epilog=EXAMPLE,
+        epilog=EXAMPLES,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     actions = parser.add_subparsers(dest="action", required=True)
-    start = actions.add_parser("start", help="begin or change a shift")
+    start = actions.add_parser("start", help="start or change a shift")
     add_put_options(start)
     start.add_argument("name")
     start.add_argument("--team", required=True)
@@ -45,16 +45,21 @@
     start.add_argument("--to", required=True, metavar="REGION")
     start.add_argument("--fraction", type=float, required=True)
     start.add_argument(
-        "--cap", type=int, required=True, help="requests moved in an interval at most"
+        "--cap",
+        type=int,
+        required=True,
+        help="maximum number of requests moved per interval",
+    )
+    start.add_argument(
+        "--interval", type=float, default=1.0, help="seconds (default: 1)"
     )
-    start.add_argument("--interval", type=float, default=1.0, help="seconds")
     start.set_defaults(run=_start)
-    stop = actions.add_parser("stop", help="stop moving traffic")
+    stop = actions.add_parser("stop", help="stop a shift")
     add_put_options(stop)
     stop.add_argument("name")
     stop.add_argument("--team", required=True)
     stop.set_defaults(run=_stop)
-    status = actions.add_parser("status", help="print how far shifts are")
+    status = actions.add_parser("status", help="print the progress of all shifts")
     add_common_options(status)
     status.set_defaults(run=_status)
 
@@ -77,8 +82,9 @@
 
 
 def _put_shift(args, shift):
-    shown = call(args, "GET", "/settings").body
-    subtree = shown["tree"].get(args.team)
+    """Put a shift under its name, or mark it as stopped if ``shift`` is None."""
+    settings = call_any(args, "GET", "/settings").body
+    subtree = settings["tree"].get(args.team)
     if subtree is None:
         raise CommandError(f"no such team: {args.team}")
     shifts = dict(subtree.get("shifts", {}))
@@ -87,14 +93,14 @@
             raise CommandError(f"team {args.team} has no shift {args.name}")
         shift = {**shifts[args.name], "state": "stopped"}
     shifts[args.name] = shift
-    changed = {**subtree, "shifts": shifts}
-    return put_and_wait(args, args.team, changed, shown["teams"][args.team])
+    new_subtree = {**subtree, "shifts": shifts}
+    return put_and_wait(args, args.team, new_subtree, settings["teams"][args.team])
 
 
 def _status(args):
     rows = []
-    for instance, state in each_instance(args).items():
-        for name, shift in (state or {}).get("shifts", {}).items():
+    for instance, status in fetch_statuses(args).items():
+        for name, shift in (status or {}).get("shifts", {}).items():
             rows.append({"instance": instance, "shift": name, **shift})
     columns = ("instance", "shift", "fraction", "target", "moved", "limit", "reason")
     print_table(args, rows, columns)
--- a/quetzalwall/cli/status_command.py
+++ b/quetzalwall/cli/status_command.py
@@ -1,26 +1,26 @@
-"""``quetzalwall status``: regions, headroom, endpoints, instances and versions."""
+"""``quetzalwall status``: instances with their versions, services with headroom."""
 
 from quetzalwall.cli.client import (
-    UNKNOWN,
+    EXIT_UNKNOWN,
     add_common_options,
-    each_instance,
+    fetch_statuses,
     print_table,
 )
 
 __all__ = ["add_parser"]
 
 
-def add_parser(commands):
+def add_parser(subparsers):
     """Add the subcommand.
 
     Parameters
     ----------
-    commands : argparse action
-        Collects subcommands.
+    subparsers : argparse action
+        Return value of ``ArgumentParser.add_subparsers``.
     """
-    parser = commands.add_parser(
+    parser = subparsers.add_parser(
         "status",
-        help="print the state of all instances and services",
+        help="print the status of all instances and services",
         epilog="example: quetzalwall status --instance 127.0.0.11:7100",
     )
     add_common_options(parser)
@@ -28,54 +28,56 @@
 
 
 def _run(args):
-    states = each_instance(args)
+    statuses = fetch_statuses(args)
     if args.json:
-        print_table(args, [{"instance": n, "state": s} for n, s in states.items()], ())
+        print_table(
+            args, [{"instance": n, "state": s} for n, s in statuses.items()], ()
+        )
     else:
-        print_table(args, _instance_rows(states), _INSTANCE_COLUMNS)
+        print_table(args, _instance_rows(statuses), _INSTANCE_COLUMNS)
         print()
-        print_table(args, _service_rows(states), _SERVICE_COLUMNS)
-    return UNKNOWN if None in states.values() else 0
+        print_table(args, _service_rows(statuses), _SERVICE_COLUMNS)
+    return EXIT_UNKNOWN if None in statuses.values() else 0
 
 
 _INSTANCE_COLUMNS = ("instance", "region", "in_force", "requests", "live")
 _SERVICE_COLUMNS = ("service", "region", "open", "slots", "headroom", "avoided")
 
 
-def _instance_rows(states):
+def _instance_rows(statuses):
     rows = []
-    for name, state in states.items():
-        if state is None:
+    for name, status in statuses.items():
+        if status is None:
             rows.append({"instance": name, "region": "no answer"})
             continue
         rows.append(
             {
                 "instance": name,
-                "region": state["region"],
-                "in_force": state["version_in_force"],
-                "requests": state["requests"],
-                "live": len(state["live"]),
+                "region": status["region"],
+                "in_force": status["version_in_force"],
+                "requests": status["requests"],
+                "live": len(status["live"]),
             }
         )
     return rows
 
 
-def _service_rows(states):
-    """Return a row for each service and region, as the first instance sees them."""
-    known = next((state for state in states.values() if state is not None), None)
+def _service_rows(statuses):
+    """Return a row per service and region, as the first responding instance has it."""
+    status = next((s for s in statuses.values() if s is not None), None)
     rows = []
-    for service, regions in sorted((known or {}).get("services", {}).items()):
-        for region, figures in sorted(regions.items()):
-            slots, opened = figures["slots"], figures["open"]
-            headroom = f"{max(0, slots - opened) / slots:.0%}" if slots else "-"
+    for service, regions in sorted((status or {}).get("services", {}).items()):
+        for region, load in sorted(regions.items()):
+            slots, in_flight = load["slots"], load["open"]
+            headroom = f"{max(0, slots - in_flight) / slots:.0%}" if slots else "-"
             rows.append(
                 {
                     "service": service,
                     "region": region,
-                    "open": opened,
+                    "open": in_flight,
                     "slots": slots,
                     "headroom": headroom,
-                    "avoided": ",".join(figures["avoided"]),
+                    "avoided": ",".join(load["avoided"]),
                 }
             )
     return rows
--- a/quetzalwall/cli/tests/test_imports.py
+++ b/quetzalwall/cli/tests/test_imports.py
@@ -1,7 +1,7 @@
 import subprocess
 import sys
 
-OTHERS = ("settings", "shift", "drain", "status", "lookup")
+OTHER_COMMANDS = ("settings", "shift", "drain", "status", "lookup")
 PROGRAM = """
 import sys
 from quetzalwall.cli.main import create_parser, main
@@ -12,9 +12,10 @@
 """
 
 
-# "The day takes too long to play", at scale: each start imported all subcommands.
-def test_a_daemon_imports_no_other_subcommand():
+# Each start of a daemon imported all subcommands, so that the starts of a large
+# deployment took too long.
+def test_daemon_imports_no_other_subcommand():
     done = subprocess.run([sys.executable, "-c", PROGRAM], stdout=subprocess.PIPE)
-    found = done.stdout.decode().split()
-    assert "quetzalwall.cli.front_command" in found
-    assert not {f"quetzalwall.cli.{name}_command" for name in OTHERS} & set(found)
+    imported = done.stdout.decode().split()
+    assert "quetzalwall.cli.front_command" in imported
+    assert not {f"quetzalwall.cli.{n}_command" for n in OTHER_COMMANDS} & set(imported)
--- a/quetzalwall/cli/tests/test_user_names.py
+++ b/quetzalwall/cli/tests/test_user_names.py
@@ -4,32 +4,34 @@
 from unittest import mock
 
 from quetzalwall.cli.main import create_parser
-from quetzalwall.cli.settings_command import own_name
+from quetzalwall.cli.settings_command import default_author
 
-VARIABLES = ("LOGNAME", "USER", "LNAME", "USERNAME")
+USER_VARIABLES = ("LOGNAME", "USER", "LNAME", "USERNAME")
 
 
 @contextmanager
-def nameless():
-    """Have this process run as a user who has no name."""
-    asked = mock.Mock(side_effect=KeyError("getpwuid(): uid not found"))
-    kept = {name: text for name, text in os.environ.items() if name not in VARIABLES}
+def nameless_user():
+    """Make this process run as a user without a name; yields the look-up's mock."""
+    getpwuid = mock.Mock(side_effect=KeyError("getpwuid(): uid not found"))
+    environ = {
+        name: text for name, text in os.environ.items() if name not in USER_VARIABLES
+    }
     with (
-        mock.patch.object(pwd, "getpwuid", asked),
-        mock.patch.dict(os.environ, kept, clear=True),
+        mock.patch.object(pwd, "getpwuid", getpwuid),
+        mock.patch.dict(os.environ, environ, clear=True),
     ):
-        yield asked
+        yield getpwuid
 
 
-# "The system did not start", report 3: each command asked for the name of its user, the
-# daemon as well, and ended with a stack where the user has only a number.
-def test_a_start_does_not_ask_for_the_name_of_its_user():
-    with nameless() as asked:
+# Each subcommand looked up the name of its user. Where the user has only a number, it
+# ended with a traceback, and so did the daemon.
+def test_daemon_start_does_not_look_up_the_user_name():
+    with nameless_user() as getpwuid:
         args = create_parser().parse_args(["front", "--settings", "file"])
     assert args.settings == "file"
-    assert not asked.called
+    assert not getpwuid.called
 
 
-def test_a_user_without_a_name_signs_with_a_number():
-    with nameless():
-        assert own_name() == f"user {os.geteuid()}"
+def test_default_author_of_a_user_without_a_name_is_the_number():
+    with nameless_user():
+        assert default_author() == f"user {os.geteuid()}"
