--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,12 +1,14 @@
-"""Install the libraries of the instances into ``target/libraries``.
-
-Each binary interface of Python has a folder of its own there, named as its extension
-modules are, and an instance takes the one of the Python that runs it. The build makes
-that of its own Python, and those of others that are on this machine or supported, since
-another path or user may run another Python. A folder is there only as a whole:
-libraries are installed beside it, imported once for a check, and then exchanged with
-it in one step. A complete folder is only read, so that it serves any user. Builds that
-install wait for each other. Only the standard library is used.
+"""Install the libraries that instances need into ``target/libraries``.
+
+Each binary interface (ABI) of Python has a folder of its own there, named by the tag of
+its extension modules. An instance uses the folder of the Python that runs it. The build
+fills the folder of its own Python, and those of other Pythons that are on this machine
+or supported, since instances may run with another ``PATH`` or as another user.
+
+A folder is replaced atomically: libraries are installed into a temporary folder, test
+imported, and exchanged with the old folder in one step. A complete folder is only read,
+so that builds by any user accept it. A lock serialises builds that install. This module
+uses only the standard library.
 """
 
 from __future__ import annotations
@@ -28,35 +30,35 @@
 from importlib.metadata import distributions
 from pathlib import Path
 
-from interfaces import OLDEST, OWN_TAG, find_interfaces
+from interfaces import OLDEST_RELEASE, OWN_TAG, find_interfaces
 
 __all__ = ["BuildError", "build"]
 
 ROOT = Path(__file__).resolve().parent.parent
 CONSTRAINTS = "constraints.txt"
-STAMP = "installed-for.txt"
-NOT_SERVED = ".not-served"  # after the tag: a registry has no such libraries
-ATTEMPTS = 3  # a registry may fail for a moment
-PAUSE_S = 5.0
-PROBES = 4  # at once
-INSTALL_LIMIT_S = 150.0  # of one attempt
-LIMIT_S = 660.0  # of all installing; the platform ends a build after 15 min
-# A user's settings of pip that move an installation elsewhere or have none made.
-PIP_OFF = ("PIP_USER", "PIP_REQUIRE_VIRTUALENV", "PIP_DRY_RUN", "PIP_NO_DEPS")
+FINGERPRINT_FILE = "installed-for.txt"
+NOT_SERVED_SUFFIX = ".not-served"  # marks a tag that the package registry lacks
+MAX_ATTEMPTS = 3  # a package registry may be unavailable for a moment
+RETRY_PAUSE_S = 5.0
+MAX_PROBES = 4  # of the package registry, at once
+PIP_TIMEOUT_S = 150.0
+INSTALL_TIMEOUT_S = 660.0  # all installations; the platform ends a build after 15 min
+# The user's settings of pip that redirect or prevent an installation.
+PIP_DISABLED = ("PIP_USER", "PIP_REQUIRE_VIRTUALENV", "PIP_DRY_RUN", "PIP_NO_DEPS")
 PIP_UNSET = ("PIP_TARGET", "PIP_PREFIX", "PIP_ROOT")
 AT_FDCWD, RENAME_EXCHANGE = -100, 2  # of renameat2(2)
-NO_EXCHANGE = (errno.EINVAL, errno.ENOSYS, errno.EPERM)  # not on this file system
-READABLE, SEARCHABLE = 0o444, 0o555  # by any user, of files and of folders
+EXCHANGE_UNSUPPORTED = (errno.EINVAL, errno.ENOSYS, errno.EPERM)  # of renameat2(2)
+READABLE_MODE, SEARCHABLE_MODE = 0o444, 0o555  # files and folders, for any user
 PACKAGE = "quetzalwall"
-NAME = re.compile(r"[A-Za-z0-9_.-]+")
+REQUIREMENT_NAME = re.compile(r"[A-Za-z0-9_.-]+")
 
 
 class BuildError(Exception):
-    """The libraries could not be installed, or do not work."""
+    """The libraries could not be installed, or can't be imported."""
 
 
 def build(root=ROOT):
-    """Install the libraries unless complete installations fit.
+    """Install the libraries where they are missing or outdated.
 
     Parameters
     ----------
@@ -66,24 +68,24 @@
     Raises
     ------
     BuildError
-        Those of this Python could not be installed; an earlier installation is left as
-        it was. Those of other ones are reported only.
+        The libraries for this Python could not be installed; an earlier installation
+        is left unchanged. For other Pythons, a failure is only printed.
     """
     requirements = read_requirements(root)
     target = root / "target" / "libraries"
-    until = time.monotonic() + LIMIT_S
+    deadline = time.monotonic() + INSTALL_TIMEOUT_S
     own, *others = find_interfaces()
     os.umask(0o022)  # the instances may run as another user
-    _install_lacking(root, target, [own], requirements, until)
+    _install_missing(root, target, [own], requirements, deadline)
     try:
-        _install_lacking(root, target, others, requirements, until, needed=False)
+        _install_missing(root, target, others, requirements, deadline, required=False)
     except OSError as exc:
-        _say(f"libraries for other releases of Python are left as they are: {exc}")
-    _compile_own(root, [own, *others])
+        _log(f"libraries for other releases of Python are left unchanged: {exc}")
+    _compile_package(root, [own, *others])
 
 
 def read_requirements(root):
-    """Return the libraries that the package declares.
+    """Return the dependencies that ``pyproject.toml`` declares.
 
     Parameters
     ----------
@@ -94,102 +96,114 @@
     -------
     list of str
     """
-    import tomllib  # not in releases that are told that they are too old
+    import tomllib  # missing in releases that `main` rejects as too old
 
     with open(root / "pyproject.toml", "rb") as stream:
         return tomllib.load(stream)["project"]["dependencies"]
 
 
 def _fingerprint(root, requirements):
-    """Return a text that differs whenever the libraries have to be others."""
+    """Return a text that changes whenever other libraries have to be installed."""
     return "\n".join([*requirements, (root / CONSTRAINTS).read_text()])
 
 
 @contextmanager
-def _only_build(target):
+def _build_lock(target):
     with open(target / "build.lock", "w") as lock:
-        # Released at the end of the process, whatever ends it.
+        # The system releases it when the process ends, also when it is killed.
         fcntl.flock(lock, fcntl.LOCK_EX)
         yield
 
 
-def _install_lacking(root, target, interfaces, requirements, until, needed=True):
-    """Install the libraries of those interfaces that lack them."""
-    wanted = _fingerprint(root, requirements)
+def _install_missing(root, target, interfaces, requirements, deadline, required=True):
+    """Install the libraries for those interfaces that lack them.
+
+    A failure is raised if ``required``, and printed otherwise.
+    """
+    fingerprint = _fingerprint(root, requirements)
 
-    def lacking():
+    def find_missing():
         pairs = [
-            (interface, _reason_to_install(target, interface, wanted, requirements))
+            (
+                interface,
+                _reason_to_install(target, interface, fingerprint, requirements),
+            )
             for interface in interfaces
         ]
         return [(interface, reason) for interface, reason in pairs if reason]
 
     def install(pair):
         interface, reason = pair
-        _say(f"installing for {interface.tag}: {reason}")
+        _log(f"installing for {interface.tag}: {reason}")
         try:
-            attempts = ATTEMPTS if needed else 1
-            _replace(root, target, interface, wanted, requirements, attempts, until)
+            attempts = MAX_ATTEMPTS if required else 1
+            _reinstall(
+                root, target, interface, fingerprint, requirements, attempts, deadline
+            )
         except (BuildError, OSError) as exc:
-            if needed:
+            if required:
                 raise
-            _say(f"no libraries for {interface.tag}: {exc}")
+            _log(f"no libraries for {interface.tag}: {exc}")
             if interface.python is None:
-                (target / f"{interface.tag}{NOT_SERVED}").write_text(wanted)
+                (target / f"{interface.tag}{NOT_SERVED_SUFFIX}").write_text(fingerprint)
 
-    if lacking():
+    if find_missing():
         target.mkdir(parents=True, exist_ok=True)
-        for folder in (target.parent, target):  # may have been there before
-            folder.chmod(folder.stat().st_mode | SEARCHABLE)
-        with _only_build(target):
-            if needed:
-                _drop_leftovers(target)
-            # Another build may have installed them meanwhile.
+        for folder in (target.parent, target):  # may exist, closed to other users
+            folder.chmod(folder.stat().st_mode | SEARCHABLE_MODE)
+        with _build_lock(target):
+            if required:
+                _remove_leftovers(target)
+            # Checked again: another build may have installed them meanwhile.
             with ThreadPoolExecutor(len(interfaces)) as pool:
-                list(pool.map(install, lacking()))
-    elif needed:
-        _say("the installation is complete")
+                list(pool.map(install, find_missing()))
+    elif required:
+        _log("all libraries are installed")
 
 
-def _reason_to_install(target, interface, wanted, requirements):
-    """Return why an installation is not the wanted one, or None if it works."""
+def _reason_to_install(target, interface, fingerprint, requirements):
+    """Return why the libraries have to be installed, or None if they need not be."""
     try:
-        installed_for = (target / interface.tag / STAMP).read_text()
+        installed = (target / interface.tag / FINGERPRINT_FILE).read_text()
     except OSError as exc:
-        tried = target / f"{interface.tag}{NOT_SERVED}"
-        if interface.python is None and tried.exists() and tried.read_text() == wanted:
+        marker = target / f"{interface.tag}{NOT_SERVED_SUFFIX}"
+        if (
+            interface.python is None
+            and marker.exists()
+            and marker.read_text() == fingerprint
+        ):
             return None
         return str(exc)
-    if installed_for != wanted:
-        return "the installation is for other libraries"
+    if installed != fingerprint:
+        return "the installed libraries are for other requirements"
     return _import_failure(interface, target / interface.tag, requirements)
 
 
-def _import_failure(interface, folder, requirements, keep=False):
+def _import_failure(interface, folder, requirements, write_bytecode=False):
     """Return why the libraries can't be imported, or None if they can.
 
-    What is compiled meanwhile may be kept.
+    ``write_bytecode`` keeps their bytecode. Without an interpreter nothing is checked.
     """
     if interface.python is None:
         return None
-    modules = [NAME.match(text).group().lower() for text in requirements]
+    modules = [REQUIREMENT_NAME.match(text).group().lower() for text in requirements]
     program = (
         f"import sys; sys.path.insert(0, sys.argv[1]); import {', '.join(modules)}"
     )
-    # Neither the user's libraries nor those of the system: instances may lack them.
-    flags = ["-I", "-S"] if keep else ["-I", "-S", "-B"]
-    done = subprocess.run(
+    # Without the libraries of the user and of the system, which instances may lack.
+    flags = ["-I", "-S"] if write_bytecode else ["-I", "-S", "-B"]
+    process = subprocess.run(
         [interface.python, *flags, "-c", program, str(folder)],
         stdin=subprocess.DEVNULL,
         stdout=subprocess.DEVNULL,
         stderr=subprocess.PIPE,
         text=True,
     )
-    return done.stderr.strip() or "failed" if done.returncode else None
+    return process.stderr.strip() or "failed" if process.returncode else None
 
 
-def _compile_own(root, interfaces):
-    """Compile the own code; where that fails, each start of an instance does it."""
+def _compile_package(root, interfaces):
+    """Compile the package; where that fails, each instance does it at its start."""
     for python in filter(None, (interface.python for interface in interfaces)):
         subprocess.run(
             [python, "-m", "compileall", "-qq", "-x", "/tests/", root / PACKAGE],
@@ -200,34 +214,39 @@
         )
 
 
-def _replace(root, target, interface, wanted, requirements, attempts, until):
-    """Install the libraries and put them in the place of former ones."""
-    fresh = Path(tempfile.mkdtemp(prefix="new-", dir=target))
+def _reinstall(root, target, interface, fingerprint, requirements, attempts, deadline):
+    """Install the libraries into a new folder and replace the former one with it."""
+    staging = Path(tempfile.mkdtemp(prefix="new-", dir=target))
     try:
-        _install(root, fresh, interface, requirements, attempts, until)
-        failure = _import_failure(interface, fresh, requirements, keep=True)
+        _install(root, staging, interface, requirements, attempts, deadline)
+        failure = _import_failure(interface, staging, requirements, write_bytecode=True)
         if failure is not None:
-            raise BuildError(f"an installed library does not work: {failure}")
-        (fresh / STAMP).write_text(wanted)
-        _make_readable(fresh)
-        _put_in_place(fresh, target / interface.tag)
+            raise BuildError(f"an installed library can't be imported: {failure}")
+        (staging / FINGERPRINT_FILE).write_text(fingerprint)
+        _make_readable(staging)
+        _move_into_place(staging, target / interface.tag)
     finally:
-        shutil.rmtree(fresh, ignore_errors=True)
+        shutil.rmtree(staging, ignore_errors=True)
+
 
+def _install(root, folder, interface, requirements, attempts, deadline):
+    """Install the libraries into an empty folder.
 
-def _install(root, folder, interface, requirements, attempts, until):
+    If the pinned releases can't be installed together, a last attempt leaves out the
+    pins that the package registry does not serve.
+    """
     command = _pip_command(folder, interface, requirements)
     pins = ["-c", str(root / CONSTRAINTS)]
     for attempt in range(1, attempts + 1):
-        if _succeeds([*command, *pins], until):
+        if _succeeds([*command, *pins], deadline):
             return
-        _say(f"installation {attempt} of {attempts} failed for {interface.tag}")
-        _empty(folder)
+        _log(f"installation attempt {attempt} of {attempts} failed for {interface.tag}")
+        _clear_folder(folder)
         if attempt < attempts:
-            time.sleep(PAUSE_S)
-    served = _served_pins(root, until)
+            time.sleep(RETRY_PAUSE_S)
+    served = _served_pins(root, deadline)
     (folder / CONSTRAINTS).write_text("\n".join(served))
-    if served and _succeeds([*command, "-c", str(folder / CONSTRAINTS)], until):
+    if served and _succeeds([*command, "-c", str(folder / CONSTRAINTS)], deadline):
         return
     message = "the libraries could not be installed"
     if not _succeeds([sys.executable, "-c", "import pip"]):
@@ -235,28 +254,32 @@
     raise BuildError(message)
 
 
-def _served_pins(root, until):
-    """Return the pins that the registry serves; say which it does not.
+def _served_pins(root, deadline):
+    """Return the pins that the package registry serves; print the others.
 
-    For the others any release in the declared range has to do, or there is no start.
+    Any release in the declared range is accepted for the others, since instances
+    could not start without these libraries.
     """
     pins = (root / CONSTRAINTS).read_text().split()
     command = [sys.executable, "-m", "pip", "install", "--quiet", "--no-input"]
     command += ["--disable-pip-version-check", "--root-user-action=ignore"]
     command += ["--ignore-installed", "--no-deps", "--only-binary", ":all:"]
-    with tempfile.TemporaryDirectory() as folder, ThreadPoolExecutor(PROBES) as pool:
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        ThreadPoolExecutor(MAX_PROBES) as pool,
+    ):
         commands = [
             [*command, "--target", f"{folder}/{number}", pin]
             for number, pin in enumerate(pins)
         ]
-        untils = [until] * len(pins)
-        found = dict(zip(pins, pool.map(_succeeds, commands, untils), strict=True))
-    lacking = [pin for pin, served in found.items() if not served]
-    _say(f"not served, so that others of their range are taken: {' '.join(lacking)}")
-    return [pin for pin, served in found.items() if served]
+        deadlines = [deadline] * len(pins)
+        served = dict(zip(pins, pool.map(_succeeds, commands, deadlines), strict=True))
+    unserved = [pin for pin, ok in served.items() if not ok]
+    _log(f"not served, other releases in range are used: {' '.join(unserved)}")
+    return [pin for pin, ok in served.items() if ok]
 
 
-def _empty(folder):
+def _clear_folder(folder):
     shutil.rmtree(folder)
     folder.mkdir()
 
@@ -266,17 +289,17 @@
     command += ["--disable-pip-version-check", "--root-user-action=ignore"]
     command += ["--target", str(folder)]
     if interface.python != sys.executable:
-        # Conditions on the release are judged by the Python that runs pip.
-        requirements = [*requirements, *_conditional(folder.parent)]
+        # pip evaluates conditions on the release for the Python that runs pip.
+        requirements = [*requirements, *_conditional_requirements(folder.parent)]
         command += ["--python-version", "{}.{}".format(*interface.release)]
         command += ["--only-binary", ":all:", "--no-compile"]
     return [*command, *requirements]
 
 
-def _conditional(target):
-    """Return what installed libraries need with some releases of Python only."""
-    own = str(target / OWN_TAG)
-    texts = [text for d in distributions(path=[own]) for text in d.requires or ()]
+def _conditional_requirements(target):
+    """Return what installed libraries require only with some releases of Python."""
+    folder = str(target / OWN_TAG)
+    texts = [text for d in distributions(path=[folder]) for text in d.requires or ()]
     conditions = [text.partition(";") for text in texts]
     return sorted(
         {
@@ -287,45 +310,46 @@
     )
 
 
-def _succeeds(command, until=math.inf):
-    limit_s = min(INSTALL_LIMIT_S, until - time.monotonic())
-    if limit_s <= 0:
+def _succeeds(command, deadline=math.inf):
+    """Run a command and return whether it succeeded before the deadline."""
+    timeout_s = min(PIP_TIMEOUT_S, deadline - time.monotonic())
+    if timeout_s <= 0:
         return False
     environ = {k: v for k, v in os.environ.items() if k not in PIP_UNSET}
-    environ |= dict.fromkeys(PIP_OFF, "0")
+    environ |= dict.fromkeys(PIP_DISABLED, "0")
     try:
-        done = subprocess.run(
-            command, stdin=subprocess.DEVNULL, timeout=limit_s, env=environ
+        process = subprocess.run(
+            command, stdin=subprocess.DEVNULL, timeout=timeout_s, env=environ
         )
     except subprocess.TimeoutExpired:
         return False
-    return done.returncode == 0
+    return process.returncode == 0
 
 
 def _make_readable(folder):
-    """Let any user read an installation, whatever modes its files came with."""
+    """Let any user read an installation, whatever the modes of its files."""
     for path in (folder, *folder.rglob("*")):
-        mode = SEARCHABLE if path.is_dir() else READABLE
+        mode = SEARCHABLE_MODE if path.is_dir() else READABLE_MODE
         path.chmod(path.stat().st_mode | mode)
 
 
-def _put_in_place(fresh, final):
-    """Give a complete installation its final name, in one step.
+def _move_into_place(staging, final):
+    """Move a complete installation to its final path, atomically where possible.
 
-    Processes that run from the former one keep the files that they have open, and find
-    what they import later in the new one.
+    Processes that use the former installation keep the files that they have open, and
+    import further modules from the new one.
     """
     if not final.exists():
-        fresh.rename(final)
-    elif not _exchange(fresh, final):
+        staging.rename(final)
+    elif not _exchange(staging, final):
         former = final.with_name(f"old-{os.getpid()}-{final.name}")
         final.rename(former)
-        fresh.rename(final)
+        staging.rename(final)
         shutil.rmtree(former, ignore_errors=True)
 
 
 def _exchange(one, other):
-    """Exchange two names in one step; return whether the system can."""
+    """Exchange two paths atomically; return False if the system does not support it."""
     libc = ctypes.CDLL(None, use_errno=True)
     if not hasattr(libc, "renameat2"):
         return False
@@ -333,38 +357,38 @@
     if libc.renameat2(AT_FDCWD, paths[0], AT_FDCWD, paths[1], RENAME_EXCHANGE) == 0:
         return True
     code = ctypes.get_errno()
-    if code not in NO_EXCHANGE:
+    if code not in EXCHANGE_UNSUPPORTED:
         raise OSError(code, os.strerror(code), str(other))
     return False
 
 
-def _drop_leftovers(target):
-    """Remove what builds that were interrupted left, and replaced installations."""
+def _remove_leftovers(target):
+    """Remove the folders of interrupted builds, and replaced installations."""
     for pattern in ("new-*", "old-*"):
         for folder in target.glob(pattern):
             shutil.rmtree(folder, ignore_errors=True)
 
 
-def _say(text):
+def _log(text):
     python = platform.python_version()
-    place = f"Python {python} at {sys.executable}, user {os.geteuid()}"
-    print(f"build: {text} ({place})", file=sys.stderr)
+    context = f"Python {python} at {sys.executable}, user {os.geteuid()}"
+    print(f"build: {text} ({context})", file=sys.stderr)
 
 
 def main():
-    """Build, and return the exit status.
+    """Run the build, and return the exit status.
 
     Returns
     -------
     int
     """
-    if sys.version_info < OLDEST:
-        _say("Python {}.{} or later is needed".format(*OLDEST))
+    if sys.version_info < OLDEST_RELEASE:
+        _log("Python {}.{} or later is needed".format(*OLDEST_RELEASE))
         return 1
     try:
         build()
     except (BuildError, OSError) as exc:
-        _say(str(exc))
+        _log(str(exc))
         return 1
     return 0
 
--- a/deploy/interfaces.py
+++ b/deploy/interfaces.py
@@ -1,4 +1,4 @@
-"""Find the binary interfaces of Python for which libraries are installed."""
+"""Find the binary interfaces (ABIs) of Python for which to install libraries."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from importlib.machinery import EXTENSION_SUFFIXES
 from typing import NamedTuple
 
-__all__ = ["OLDEST", "OWN_TAG", "Interface", "find_interfaces"]
+__all__ = ["OLDEST_RELEASE", "OWN_TAG", "Interface", "find_interfaces"]
 
-OLDEST, NEWEST = (3, 11), (3, 14)  # releases of Python for which there are libraries
-OWN_TAG = EXTENSION_SUFFIXES[0].split(".")[1]
-ASK_LIMIT_S = 10.0
-USUAL_PLACES = ("/usr/local/bin", "/usr/bin")
-ASK = (
+OLDEST_RELEASE, NEWEST_RELEASE = (3, 11), (3, 14)  # supported releases of Python
+OWN_TAG = EXTENSION_SUFFIXES[0].split(".")[1]  # of the Python that runs this code
+PROBE_TIMEOUT_S = 10.0
+DEFAULT_FOLDERS = ("/usr/local/bin", "/usr/bin")
+PROBE_PROGRAM = (
     "import sys; from importlib.machinery import EXTENSION_SUFFIXES as s; "
     "print(sys.version_info[0], sys.version_info[1], s[0])"
 )
@@ -26,11 +26,12 @@
     Attributes
     ----------
     tag : str
-        Name of its folder.
+        Tag in the file names of its extension modules, such as
+        ``cpython-311-x86_64-linux-gnu``; also the name of its library folder.
     release : tuple of int
-        Major and minor number of Python.
+        Major and minor version of Python.
     python : str or None
-        An interpreter that has it; None if none was found.
+        Path of an interpreter with this interface; None if none was found.
     """
 
     tag: str
@@ -38,46 +39,51 @@
     python: str | None
 
 
-def find_interfaces(places=None):
+def find_interfaces(folders=None):
     """Return the binary interfaces that may run an instance, that of this Python first.
 
     Parameters
     ----------
-    places : iterable of str, default=None
-        Folders with interpreters; those of the path and the usual ones if None.
+    folders : iterable of str, default=None
+        Folders to search for interpreters; those of ``PATH`` and the default ones if
+        None.
 
     Returns
     -------
     list of Interface
+        Those of the interpreters found, and of supported releases without one.
     """
-    if places is None:
-        places = [*os.environ.get("PATH", "").split(os.pathsep), *USUAL_PLACES]
-    releases = [(OLDEST[0], minor) for minor in range(OLDEST[1], NEWEST[1] + 1)]
+    if folders is None:
+        folders = [*os.environ.get("PATH", "").split(os.pathsep), *DEFAULT_FOLDERS]
+    releases = [
+        (OLDEST_RELEASE[0], minor)
+        for minor in range(OLDEST_RELEASE[1], NEWEST_RELEASE[1] + 1)
+    ]
     names = ["python3", *(f"python{major}.{minor}" for major, minor in releases)]
     found = {OWN_TAG: Interface(OWN_TAG, sys.version_info[:2], sys.executable)}
-    for path in dict.fromkeys(os.path.join(p, n) for p in places for n in names if p):
-        interface = _ask(path) if os.access(path, os.X_OK) else None
-        if interface is not None and interface.release >= OLDEST:
+    for path in dict.fromkeys(os.path.join(f, n) for f in folders for n in names if f):
+        interface = _probe(path) if os.access(path, os.X_OK) else None
+        if interface is not None and interface.release >= OLDEST_RELEASE:
             found.setdefault(interface.tag, interface)
-    own = "cpython-{}{}-".format(*sys.version_info[:2])
-    for release in releases if OWN_TAG.startswith(own) else ():
-        other = OWN_TAG.replace(own, "cpython-{}{}-".format(*release))
-        found.setdefault(other, Interface(other, release, None))
+    own_prefix = "cpython-{}{}-".format(*sys.version_info[:2])
+    for release in releases if OWN_TAG.startswith(own_prefix) else ():
+        tag = OWN_TAG.replace(own_prefix, "cpython-{}{}-".format(*release))
+        found.setdefault(tag, Interface(tag, release, None))
     return list(found.values())
 
 
-def _ask(path):
-    """Return the interface of an interpreter, or None if it doesn't run."""
+def _probe(path):
+    """Return the interface of an interpreter, or None if it can't be determined."""
     try:
-        done = subprocess.run(
-            [path, "-c", ASK],
+        process = subprocess.run(
+            [path, "-c", PROBE_PROGRAM],
             stdin=subprocess.DEVNULL,
             stdout=subprocess.PIPE,
             stderr=subprocess.DEVNULL,
             text=True,
-            timeout=ASK_LIMIT_S,
+            timeout=PROBE_TIMEOUT_S,
         )
-        major, minor, suffix = done.stdout.split()
+        major, minor, suffix = process.stdout.split()
         return Interface(suffix.split(".")[1], (int(major), int(minor)), path)
     except (OSError, ValueError, IndexError, subprocess.TimeoutExpired):
         return None
--- a/deploy/tests/test_build.py
+++ b/deploy/tests/test_build.py
@@ -20,34 +20,33 @@
     "prometheus_client": "0.26.0",
     "xxhash": "4.1.0",
 }
-# Where the libraries are for the Python that runs the tests.
-TAG = EXTENSION_SUFFIXES[0].split(".")[1]
-FOLDER = f"target/libraries/{TAG}"
+TAG = EXTENSION_SUFFIXES[0].split(".")[1]  # of the Python that runs the tests
+LIBRARY_FOLDER = f"target/libraries/{TAG}"
 PR_CAPBSET_DROP = 24  # of prctl(2)
 CAP_DAC_OVERRIDE, CAP_DAC_READ_SEARCH, CAP_FOWNER = 1, 2, 3  # of capabilities(7)
-OTHER_RELEASE = """
+OTHER_PATCH_RELEASE = """
 import sys
 sys.version = "3.11.999 (main, Jan  1 2030, 00:00:00) [GCC 99.0.0]"
 """
-# Writes a file when libraries that were there are gone at the next rename.
-WATCHES_RENAMES = f"""
+# Creates the file "gap" if a library exists at one rename and not at a later one.
+WATCH_RENAMES = f"""
 import os, sys
 seen = []
-def note(event, args):
+def audit(event, args):
     if event in ("os.rename", "shutil.rmtree"):
-        there = os.path.exists("{FOLDER}/xxhash/__init__.py")
-        if seen and not there:
+        exists = os.path.exists("{LIBRARY_FOLDER}/xxhash/__init__.py")
+        if seen and not exists:
             open("gap", "w").close()
-        if there:
+        if exists:
             seen.append(event)
-sys.addaudithook(note)
+sys.addaudithook(audit)
 """
 METADATA = "Metadata-Version: 2.1\nName: {}\nVersion: {}\n"
 WHEEL = "Wheel-Version: 1.0\nRoot-Is-Purelib: true\nTag: py3-none-any\n"
 
 
 def write_wheel(folder, name, version):
-    """Write a library that holds one empty module."""
+    """Write the wheel of a library that consists of one empty module."""
     info = f"{name}-{version}.dist-info"
     files = {
         f"{name}/__init__.py": "",
@@ -64,7 +63,7 @@
 
 @contextmanager
 def checkout():
-    """A clean checkout, and a stand-in for the package registry."""
+    """Yield a clean checkout and a folder that replaces the package registry."""
     with tempfile.TemporaryDirectory() as folder:
         root = Path(folder) / "checkout"
         shutil.copytree(
@@ -81,8 +80,12 @@
         yield root, registry
 
 
-def start_build(root, registry, program="", drop=None):
-    """Start the build; `program` is run first by each Python that it starts."""
+def start_build(root, registry, program="", preexec=None):
+    """Start the build.
+
+    Each Python that it starts runs ``program`` first. ``preexec`` is called in the
+    child process before the build.
+    """
     hooks = root.parent / "hooks"
     hooks.mkdir(exist_ok=True)
     (hooks / "sitecustomize.py").write_text(program)
@@ -99,19 +102,19 @@
         env=environ,
         stderr=subprocess.PIPE,
         text=True,
-        preexec_fn=drop,
+        preexec_fn=preexec,
     )
 
 
 def respect_permissions():
-    """Have the process bound by permission bits, also where root runs the tests."""
+    """Drop the capabilities by which root would bypass file permissions."""
     for capability in (CAP_DAC_OVERRIDE, CAP_DAC_READ_SEARCH, CAP_FOWNER):
         ctypes.CDLL(None).prctl(PR_CAPBSET_DROP, capability, 0, 0, 0)
 
 
 @contextmanager
 def write_protected(folder):
-    """Take all write permission from a folder and what is in it."""
+    """Remove write permission from a folder and its content."""
     paths = [folder, *folder.rglob("*")]
     modes = [path.stat().st_mode for path in paths]
     try:
@@ -124,110 +127,123 @@
 
 
 def finish(process):
-    _, said = process.communicate(timeout=120)
-    return process.returncode, said
+    """Return the exit status and standard error of a build."""
+    _, err = process.communicate(timeout=120)
+    return process.returncode, err
 
 
 def missing(root):
-    return [n for n in LIBRARIES if not (root / f"{FOLDER}/{n}/__init__.py").exists()]
+    """Return the names of the libraries that are not installed."""
+    return [
+        n
+        for n in LIBRARIES
+        if not (root / f"{LIBRARY_FOLDER}/{n}/__init__.py").exists()
+    ]
 
 
-# "The system did not start from its deploy file": the build said yes, libraries lacked.
-def test_interrupted_installation_is_not_taken_for_a_build():
+# An interrupted build left an incomplete folder, which the next build accepted.
+def test_interrupted_installation_is_completed():
     with checkout() as (root, registry):
-        (root / FOLDER / "gevent").mkdir(parents=True)
-        status, said = finish(start_build(root, registry))
-        assert status == 0, said
+        (root / LIBRARY_FOLDER / "gevent").mkdir(parents=True)
+        status, err = finish(start_build(root, registry))
+        assert status == 0, err
         assert not missing(root)
 
 
-# The same failure where several deployments build from one checkout at once.
-def test_a_build_leaves_alone_what_another_has_installed():
+# With several deployments building from one checkout at once, a build reported success
+# although libraries were missing.
+def test_concurrent_builds_install_only_once():
     with checkout() as (root, registry):
         builds = [start_build(root, registry) for _ in range(3)]
         while all(process.poll() is None for process in builds):
             pass
         lacking = missing(root)
-        made = (root / FOLDER / "gevent").stat().st_ino if not lacking else None
+        inode = (
+            (root / LIBRARY_FOLDER / "gevent").stat().st_ino if not lacking else None
+        )
         assert [finish(process)[0] for process in builds] == [0, 0, 0]
         assert not lacking
-        assert (root / FOLDER / "gevent").stat().st_ino == made
+        assert (root / LIBRARY_FOLDER / "gevent").stat().st_ino == inode
 
 
-# The same failure where libraries were built for another Python.
-def test_libraries_for_another_python_are_installed_anew():
+# A build accepted libraries that had been installed for another Python.
+def test_libraries_for_another_python_are_reinstalled():
     with checkout() as (root, registry):
         assert finish(start_build(root, registry))[0] == 0
         other = next(
-            p for p in (root / FOLDER).parent.glob("cpython-*") if p.name != TAG
+            p for p in (root / LIBRARY_FOLDER).parent.glob("cpython-*") if p.name != TAG
         )
-        shutil.rmtree(root / FOLDER)
-        other.rename(root / FOLDER)
-        (root / FOLDER / "xxhash/__init__.py").write_text("raise ImportError")
+        shutil.rmtree(root / LIBRARY_FOLDER)
+        other.rename(root / LIBRARY_FOLDER)
+        (root / LIBRARY_FOLDER / "xxhash/__init__.py").write_text("raise ImportError")
         assert finish(start_build(root, registry))[0] == 0
-        assert (root / FOLDER / "xxhash/__init__.py").read_text() == ""
+        assert (root / LIBRARY_FOLDER / "xxhash/__init__.py").read_text() == ""
 
 
-def test_a_failed_build_says_so_and_keeps_the_earlier_libraries():
+def test_failed_build_reports_why_and_keeps_the_earlier_libraries():
     with checkout() as (root, registry):
         assert finish(start_build(root, registry))[0] == 0
         (root / "constraints.txt").write_text("xxhash==0.0.1\n")
         build = (root / "deploy/build.py").read_text()
         (root / "deploy/build.py").write_text(
-            build.replace("PAUSE_S = 5.0", "PAUSE_S = 0")
+            build.replace("RETRY_PAUSE_S = 5.0", "RETRY_PAUSE_S = 0")
         )
-        status, said = finish(start_build(root, registry))
+        status, err = finish(start_build(root, registry))
         assert status == 1
-        assert "could not be installed" in said and "xxhash" in said
+        assert "could not be installed" in err and "xxhash" in err
         assert not missing(root)
-        names = [p.name for p in (root / FOLDER).parent.iterdir() if p.is_dir()]
+        names = [p.name for p in (root / LIBRARY_FOLDER).parent.iterdir() if p.is_dir()]
         assert all(name.startswith("cpython-") for name in names), names
 
 
-# "The system did not start from its deploy file", report 2: a complete installation was
-# refused to another user, and where the files can only be read.
-def test_a_complete_installation_is_taken_where_nothing_can_be_written():
+# A complete installation was rejected when the build ran as another user, or where no
+# file can be written.
+def test_complete_installation_is_accepted_without_write_permission():
     with checkout() as (root, registry):
         assert finish(start_build(root, registry))[0] == 0
         with write_protected(root):
-            status, said = finish(start_build(root, registry, drop=respect_permissions))
-        assert status == 0, said
+            status, err = finish(
+                start_build(root, registry, preexec=respect_permissions)
+            )
+        assert status == 0, err
 
 
-# The same report: a patch release of Python had all libraries installed anew, under
-# running processes.
-def test_another_patch_release_takes_the_same_libraries():
+# With another patch release of Python, all libraries were reinstalled while processes
+# used them.
+def test_another_patch_release_uses_the_same_libraries():
     with checkout() as (root, registry):
         assert finish(start_build(root, registry))[0] == 0
-        made = (root / FOLDER / "gevent").stat().st_ino
-        status, said = finish(start_build(root, registry, OTHER_RELEASE))
-        assert status == 0, said
-        assert (root / FOLDER / "gevent").stat().st_ino == made
+        inode = (root / LIBRARY_FOLDER / "gevent").stat().st_ino
+        status, err = finish(start_build(root, registry, OTHER_PATCH_RELEASE))
+        assert status == 0, err
+        assert (root / LIBRARY_FOLDER / "gevent").stat().st_ino == inode
 
 
-# The same report: a process that started between two renames found no libraries.
-def test_libraries_are_there_at_every_moment_of_a_replacement():
+# A process that started between two renames found no libraries.
+def test_libraries_exist_at_every_rename_of_a_replacement():
     with checkout() as (root, registry):
         assert finish(start_build(root, registry))[0] == 0
         with open(root / "constraints.txt", "a") as constraints:
             constraints.write("# another installation is wanted\n")
-        status, said = finish(start_build(root, registry, WATCHES_RENAMES))
-        assert status == 0, said
+        status, err = finish(start_build(root, registry, WATCH_RENAMES))
+        assert status == 0, err
         assert not missing(root)
         assert not (root / "gap").exists()
 
 
-# The same report: a clean machine has Python without pip.
-def test_the_deploy_file_names_the_packages_that_the_build_needs():
+# A clean machine has Python without pip.
+def test_deploy_file_lists_the_packages_that_the_build_needs():
     deploy = tomllib.loads((ROOT / "deploy/system.toml").read_text())
     assert {"python3", "python3-pip"} <= set(deploy.get("packages", ()))
 
 
-def test_a_build_that_can_not_write_says_so_in_one_line():
+def test_build_without_write_permission_prints_no_traceback():
     with checkout() as (root, registry):
         (root / "target").mkdir()
         with write_protected(root / "target"):
-            status, said = finish(start_build(root, registry, drop=respect_permissions))
+            status, err = finish(
+                start_build(root, registry, preexec=respect_permissions)
+            )
         assert status == 1
-        assert "Permission denied" in said and "target" in said
-        assert "Traceback" not in said
+        assert "Permission denied" in err and "target" in err
+        assert "Traceback" not in err
--- a/deploy/tests/test_build_time.py
+++ b/deploy/tests/test_build_time.py
@@ -1,4 +1,4 @@
-"""How long a build takes where nothing can be installed any more."""
+"""How long a build takes when every command of pip hangs until its time-out."""
 
 import importlib.util
 import os
@@ -11,8 +11,8 @@
 from types import SimpleNamespace
 
 DEPLOY = Path(__file__).resolve().parent.parent
-FASTER = 200.0  # than on a machine
-PLATFORM_LIMIT_S = 15 * 60.0
+SPEED_UP = 200.0  # time-outs and pauses of the build are divided by it
+PLATFORM_TIMEOUT_S = 15 * 60.0  # the platform ends a build after it
 
 
 def load_build():
@@ -31,33 +31,33 @@
     raise subprocess.TimeoutExpired(command, timeout)
 
 
-def build_s(interfaces_of):
-    """Return how long a build takes of which each call of pip hangs."""
+def build_duration_s(make_interfaces):
+    """Return the duration of a build in which each command of pip hangs."""
     build = load_build()
-    for name in ("INSTALL_LIMIT_S", "PAUSE_S", "LIMIT_S"):
-        setattr(build, name, getattr(build, name, 0.0) / FASTER)
+    for name in ("PIP_TIMEOUT_S", "RETRY_PAUSE_S", "INSTALL_TIMEOUT_S"):
+        setattr(build, name, getattr(build, name, 0.0) / SPEED_UP)
     build.subprocess = SimpleNamespace(
         run=hang, TimeoutExpired=subprocess.TimeoutExpired, DEVNULL=subprocess.DEVNULL
     )
-    build.find_interfaces = lambda: interfaces_of(build)
+    build.find_interfaces = lambda: make_interfaces(build)
     with tempfile.TemporaryDirectory() as name:
         for file in ("pyproject.toml", "constraints.txt"):
             shutil.copy(DEPLOY.parent / file, name)
-        began, mask = time.monotonic(), os.umask(0o022)
+        start, mask = time.monotonic(), os.umask(0o022)
         try:
             build.build(Path(name))
         except build.BuildError:
             pass
         finally:
             os.umask(mask)
-        return (time.monotonic() - began) * FASTER
+        return (time.monotonic() - start) * SPEED_UP
 
 
-def installed(build):
-    """Return the own interface, whose libraries are there, and three others."""
+def only_own_installed(build):
+    """Return the own interface, whose libraries are installed, and three others."""
     own = SimpleNamespace(tag="own", release=(3, 11), python=None)
     build._reason_to_install = lambda target, interface, *_: (
-        None if interface is own else "it lacks"
+        None if interface is own else "missing"
     )
     others = [
         SimpleNamespace(tag=f"x{n}", release=(3, n), python=None) for n in (12, 13, 14)
@@ -65,12 +65,16 @@
     return [own, *others]
 
 
-# "The system did not start from its deploy file": libraries that no process needed took
-# the build past the platform's limit, which ends it, where a registry was slow.
-def test_libraries_of_other_pythons_do_not_take_a_build_past_its_limit():
-    assert build_s(installed) < PLATFORM_LIMIT_S
+# With a slow package registry, installing libraries that no process needed took so long
+# that the platform ended the build.
+def test_libraries_for_other_pythons_do_not_delay_a_build_past_its_timeout():
+    assert build_duration_s(only_own_installed) < PLATFORM_TIMEOUT_S
 
 
-# The same for its own: a build that fails must say so before it is ended.
-def test_a_build_that_fails_ends_before_its_limit():
-    assert build_s(lambda build: installed(build)[1:2]) < PLATFORM_LIMIT_S
+# A build that can't install its own libraries must report that before the platform ends
+# it.
+def test_failing_build_ends_before_its_timeout():
+    assert (
+        build_duration_s(lambda build: only_own_installed(build)[1:2])
+        < PLATFORM_TIMEOUT_S
+    )
--- a/deploy/tests/test_installed_libraries.py
+++ b/deploy/tests/test_installed_libraries.py
@@ -1,8 +1,8 @@
 import shutil
 
 from deploy.tests.test_build import (
-    FOLDER,
     LIBRARIES,
+    LIBRARY_FOLDER,
     checkout,
     finish,
     missing,
@@ -10,28 +10,28 @@
 )
 
 
-def write_elsewhere(root):
-    """Put the libraries where only the Python of the build looks for them."""
+def write_user_libraries(root):
+    """Write libraries into a folder that is on the module path of the build only."""
     for name in LIBRARIES:
         library = root.parent / "hooks" / name
         library.mkdir(parents=True)
         (library / "__init__.py").write_text("")
 
 
-# "The system did not start from its deploy file", report 3: the check of the build was
-# content with a library of the user who ran it, which the processes don't see.
+# The import check of the build accepted a library of the user who ran the build, which
+# the processes of instances can't import.
 def test_libraries_of_the_building_user_do_not_count_as_installed():
     with checkout() as (root, registry):
         assert finish(start_build(root, registry))[0] == 0
-        write_elsewhere(root)
-        shutil.rmtree(root / FOLDER / "xxhash")
-        status, said = finish(start_build(root, registry))
-        assert status == 0, said
+        write_user_libraries(root)
+        shutil.rmtree(root / LIBRARY_FOLDER / "xxhash")
+        status, err = finish(start_build(root, registry))
+        assert status == 0, err
         assert not missing(root)
 
 
-# The same report: a folder that something else had made for its user alone was kept.
-def test_another_user_can_enter_a_folder_that_was_there_before():
+# A folder that existed before the build, accessible to its owner only, stayed so.
+def test_build_makes_an_existing_folder_accessible_to_other_users():
     with checkout() as (root, registry):
         (root / "target").mkdir(mode=0o700)
         assert finish(start_build(root, registry))[0] == 0
--- a/deploy/tests/test_other_pythons.py
+++ b/deploy/tests/test_other_pythons.py
@@ -15,20 +15,20 @@
     start_build,
 )
 
-VERSIONS = ("3.11", "3.12", "3.13", "3.14")  # that the package is declared for
-PLACES = (
+RELEASES = ("3.11", "3.12", "3.13", "3.14")  # supported by the package
+INTERPRETER_PATTERNS = (
     "/usr/bin/python3",
     "/usr/local/bin/python3",
     "~/.pyenv/versions/*/bin/python3",
 )
-ASK_VERSION = "import sys; print('%d.%d' % sys.version_info[:2])"
-COMPILED = """
+PRINT_RELEASE = "import sys; print('%d.%d' % sys.version_info[:2])"
+COMPILED_MODULE = """
 import sys
 if "%d.%d" % sys.version_info[:2] != "{}":
     raise ImportError("compiled for Python {}")
 """
-# Stands in for the command line, which needs more of the libraries than that they load.
-PROGRAM = """
+# Replaces the command line, for which the empty libraries of the test would not do.
+IMPORT_LIBRARIES = """
 import gevent, geventhttpclient, jsonschema, logbook
 import msgspec, prometheus_client, xxhash
 def main():
@@ -44,37 +44,39 @@
 """
 
 
-def pythons():
-    """Return the path of one Python of each version on this machine."""
+def find_pythons():
+    """Return the path of one Python of each supported release on this machine."""
     found = {}
-    for pattern in PLACES:
+    for pattern in INTERPRETER_PATTERNS:
         path = Path(pattern).expanduser()
         for file in sorted(Path("/").glob(str(path.relative_to("/")))):
             done = subprocess.run(
-                [file, "-c", ASK_VERSION], capture_output=True, text=True
+                [file, "-c", PRINT_RELEASE], capture_output=True, text=True
             )
             found.setdefault(done.stdout.strip(), str(file))
     found["{}.{}".format(*sys.version_info)] = sys.executable
-    return {version: found[version] for version in VERSIONS if version in found}
+    return {release: found[release] for release in RELEASES if release in found}
 
 
 def write_compiled_wheels(registry):
-    """Have the registry serve gevent as one wheel for each version of Python."""
+    """Serve gevent as one wheel for each release of Python."""
     name, version = "gevent", LIBRARIES["gevent"]
     for wheel in registry.glob(f"{name}-*"):
         wheel.unlink()
     info = f"{name}-{version}.dist-info"
-    for python in VERSIONS:
+    for python in RELEASES:
         tag = f"cp{python.replace('.', '')}-none-any"
         with zipfile.ZipFile(registry / f"{name}-{version}-{tag}.whl", "w") as wheel:
-            wheel.writestr(f"{name}/__init__.py", COMPILED.format(python, python))
+            wheel.writestr(
+                f"{name}/__init__.py", COMPILED_MODULE.format(python, python)
+            )
             wheel.writestr(f"{info}/METADATA", METADATA.format(name, version))
             wheel.writestr(f"{info}/WHEEL", WHEEL.replace("py3-none-any", tag))
             wheel.writestr(f"{info}/RECORD", "")
 
 
-def start_process(root, python):
-    """Run the program of the deploy file as the platform does, with some Python."""
+def run_instance(root, python):
+    """Run the command of the deploy file as the platform does, with a given Python."""
     environ = {"PATH": os.environ["PATH"], "HOME": str(root.parent)}
     return subprocess.run(
         [python, "-m", "quetzalwall", "front"],
@@ -85,25 +87,26 @@
     )
 
 
-# "The system did not start from its deploy file", report 3: the libraries were those of
-# the Python that ran the build, and another one ran the processes.
+# The build installed libraries for the Python that ran it, and another Python ran the
+# processes.
 def test_processes_of_another_python_find_their_libraries():
     with checkout() as (root, registry):
         shutil.copytree(ROOT / "quetzalwall", root / "quetzalwall")
-        (root / "quetzalwall/cli/main.py").write_text(PROGRAM)
+        (root / "quetzalwall/cli/main.py").write_text(IMPORT_LIBRARIES)
         write_compiled_wheels(registry)
-        status, said = finish(start_build(root, registry))
-        assert status == 0, said
-        done = {
-            version: start_process(root, path) for version, path in pythons().items()
+        status, err = finish(start_build(root, registry))
+        assert status == 0, err
+        processes = {
+            release: run_instance(root, path)
+            for release, path in find_pythons().items()
         }
-        said = {version: process.stderr for version, process in done.items()}
-        assert all(process.stdout == "served\n" for process in done.values()), said
+        err = {release: process.stderr for release, process in processes.items()}
+        assert all(process.stdout == "served\n" for process in processes.values()), err
 
 
-# The same report: an older Python ended with a stack that did not say what is needed.
-def test_a_build_by_a_python_that_is_too_old_works_or_says_so_in_one_line():
+# An older Python ended with a traceback that did not tell the required release.
+def test_build_by_an_unsupported_python_works_or_prints_one_line():
     with checkout() as (root, registry):
-        status, said = finish(start_build(root, registry, OLD_PYTHON))
-        assert "Traceback" not in said, said
-        assert status == 0 or (said.count("\n") == 1 and "3.11" in said), said
+        status, err = finish(start_build(root, registry, OLD_PYTHON))
+        assert "Traceback" not in err, err
+        assert status == 0 or (err.count("\n") == 1 and "3.11" in err), err
--- a/deploy/tests/test_pip_settings.py
+++ b/deploy/tests/test_pip_settings.py
@@ -5,38 +5,43 @@
 
 from deploy.tests.test_build import checkout, finish, missing, start_build
 
-VARIABLES = {
+PIP_VARIABLES = {
     "USER": "1",
     "PREFIX": "ELSEWHERE",
     "ROOT": "ELSEWHERE",
     "DRY_RUN": "1",
 }
-FILES = ("[global]\nuser = true\n", "[install]\ndry-run = true\n")
+PIP_FILES = ("[global]\nuser = true\n", "[install]\ndry-run = true\n")
 
 
-# "The system did not start from its deploy file", report 3: settings of pip for
-# other work of the building user, by variable and file, failed the build or moved it.
-def test_pip_settings_of_the_user_do_not_move_the_installation():
-    wrong = {name: _failure(f"PIP_{name}", text) for name, text in VARIABLES.items()}
-    assert not any(wrong.values()), wrong
+# Settings of pip that the building user had for other work, in variables or files, made
+# the build fail or install elsewhere.
+def test_pip_variables_of_the_user_do_not_affect_the_installation():
+    failures = {
+        name: _build_failure(f"PIP_{name}", text)
+        for name, text in PIP_VARIABLES.items()
+    }
+    assert not any(failures.values()), failures
 
 
-def test_a_pip_file_of_the_user_does_not_move_the_installation():
+def test_pip_file_of_the_user_does_not_affect_the_installation():
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "pip.conf"
-        wrong = {}
-        for text in FILES:
+        failures = {}
+        for text in PIP_FILES:
             file.write_text(text)
-            wrong[text] = _failure("PIP_CONFIG_FILE", str(file))
-    assert not any(wrong.values()), wrong
+            failures[text] = _build_failure("PIP_CONFIG_FILE", str(file))
+    assert not any(failures.values()), failures
 
 
-def _failure(variable, value):
-    """Return what a build says that fails where a variable is set, or None."""
+def _build_failure(variable, value):
+    """Return the output of a build that fails with a variable set, or None."""
     with checkout() as (root, registry):
         program = root / "deploy/build.py"
-        program.write_text(program.read_text().replace("PAUSE_S = 5.0", "PAUSE_S = 0"))
+        program.write_text(
+            program.read_text().replace("RETRY_PAUSE_S = 5.0", "RETRY_PAUSE_S = 0")
+        )
         value = value.replace("ELSEWHERE", str(root.parent / "elsewhere"))
         with patch.dict(os.environ, {variable: value}):
-            status, said = finish(start_build(root, registry))
-        return said if status or missing(root) else None
+            status, err = finish(start_build(root, registry))
+        return err if status or missing(root) else None
--- a/deploy/tests/test_registry.py
+++ b/deploy/tests/test_registry.py
@@ -11,7 +11,7 @@
     write_wheel,
 )
 
-PROJECT = """
+SOURCE_PROJECT = """
 [build-system]
 requires = ["a-compiler-that-is-not-there"]
 build-backend = "setuptools.build_meta"
@@ -19,17 +19,17 @@
 
 
 def serve_instead(registry, name, version):
-    """Have the registry serve another release of a library, and not the pinned one."""
+    """Serve another release of a library instead of the pinned one."""
     for wheel in registry.glob(f"{name}-*"):
         wheel.unlink()
     write_wheel(registry, name, version)
 
 
 def write_source(registry, name):
-    """Have the registry serve the pinned release of a library as source only."""
+    """Serve the pinned release of a library as source only."""
     top = f"{name}-{LIBRARIES[name]}"
     files = {
-        "pyproject.toml": PROJECT,
+        "pyproject.toml": SOURCE_PROJECT,
         "PKG-INFO": METADATA.format(name, LIBRARIES[name]),
     }
     with tarfile.open(registry / f"{top}.tar.gz", "w:gz") as archive:
@@ -41,30 +41,32 @@
 
 def build_without_pauses(root, registry):
     program = root / "deploy/build.py"
-    program.write_text(program.read_text().replace("PAUSE_S = 5.0", "PAUSE_S = 0"))
+    program.write_text(
+        program.read_text().replace("RETRY_PAUSE_S = 5.0", "RETRY_PAUSE_S = 0")
+    )
     return finish(start_build(root, registry))
 
 
-# "The system did not start from its deploy file", report 3: the build failed for one
-# pinned release that the registry lacked, or had no wheel of, though others would do.
-def test_a_pinned_release_that_is_not_served_is_replaced_by_one_in_range():
+# The build failed for one pinned release that the registry lacked, or had no wheel of,
+# although it served another release in the declared range.
+def test_pinned_release_that_is_not_served_is_replaced_by_one_in_range():
     for as_source in (False, True):
         with checkout() as (root, registry):
             serve_instead(registry, "xxhash", "4.1.7")
             if as_source:
                 write_source(registry, "xxhash")
-            status, said = build_without_pauses(root, registry)
-            assert status == 0, (as_source, said)
+            status, err = build_without_pauses(root, registry)
+            assert status == 0, (as_source, err)
             assert not missing(root)
             installed = [path.name for path in (root / "target").rglob("*.dist-info")]
             assert "xxhash-4.1.7.dist-info" in installed
-            assert "gevent-26.9.0.dist-info" in installed  # pins hold where they can
-            assert "xxhash" in said  # the operator is told
+            assert "gevent-26.9.0.dist-info" in installed  # other pins are kept
+            assert "xxhash" in err  # the build names it
 
 
-def test_a_release_out_of_the_declared_range_is_never_taken():
+def test_release_outside_the_declared_range_is_never_installed():
     with checkout() as (root, registry):
         serve_instead(registry, "xxhash", "5.0.0")
-        status, said = build_without_pauses(root, registry)
+        status, err = build_without_pauses(root, registry)
         assert status == 1
-        assert "xxhash" in said
+        assert "xxhash" in err
--- a/deploy/tests/test_start.py
+++ b/deploy/tests/test_start.py
@@ -19,28 +19,28 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 PLACEHOLDER = re.compile(r"\{\{([\w.]+)(\|json)?\}\}")
-OLDEST = (3, 11)
-UNNAMED = 54321  # user and group that no account has
-SEARCHABLE = 0o755
-KEPT = ("PATH", "HOME", "LANG")
-STARTED_S = 20.0  # on a busy machine
+OLDEST_RELEASE = (3, 11)
+NAMELESS_ID = 54321  # user and group without an account
+SEARCHABLE_MODE = 0o755
+PASSED_VARIABLES = ("PATH", "HOME", "LANG")
+START_TIMEOUT_S = 20.0  # on a busy machine
 
 
 @functools.cache
 def built_checkout():
-    """A clean checkout in which the deploy file's build has run, for all tests."""
+    """Return a checkout in which the build command has run, once for all tests."""
     folder = tempfile.mkdtemp()
     root = Path(folder) / "a checkout"
     command = ["git", "ls-files", "-z", "--cached", "--others", "--exclude-standard"]
     files = subprocess.check_output(command, cwd=ROOT, text=True)
     for file in files.split("\0"):
-        wanted = file.startswith(("quetzalwall/", "deploy/")) or "/" not in file
-        if wanted and (ROOT / file).is_file():
+        needed = file.startswith(("quetzalwall/", "deploy/")) or "/" not in file
+        if needed and (ROOT / file).is_file():
             (root / file).parent.mkdir(parents=True, exist_ok=True)
             shutil.copy(ROOT / file, root / file)
     command = tomllib.loads((root / "deploy/system.toml").read_text())["build"]
     subprocess.run(["sh", "-c", command], cwd=root, env=bare_environ(), check=True)
-    os.chmod(folder, SEARCHABLE)
+    os.chmod(folder, SEARCHABLE_MODE)
     return root
 
 
@@ -50,7 +50,7 @@
 
 
 def bare_environ(**more):
-    """The variables that the platform hands on, and those of the package registry."""
+    """Return the variables that the platform passes on, and those of pip."""
     names = [n for n in os.environ if n.startswith("PIP_")]
     return {
         n: os.environ[n] for n in ["PATH", "HOME", *names] if n in os.environ
@@ -65,20 +65,20 @@
 
 
 def interpreters():
-    """Interpreters of this machine, no virtual environments', one of each release."""
+    """Return one interpreter of each release, outside of virtual environments."""
     siblings = sorted(Path(sys.base_prefix).parent.glob("*/bin"))
-    places = [Path(sys.base_prefix) / "bin", *siblings, Path("/usr/bin")]
+    folders = [Path(sys.base_prefix) / "bin", *siblings, Path("/usr/bin")]
     found = {}
-    for python in (str(place / "python3") for place in places):
+    for python in (str(folder / "python3") for folder in folders):
         release = release_of(python) if os.access(python, os.X_OK) else None
-        if release is not None and release >= OLDEST:
+        if release is not None and release >= OLDEST_RELEASE:
             found.setdefault(release, python)
     return list(found.values())
 
 
 def platform_fields(ports):
-    """The fields that the platform has for an instance."""
-    place = [f"{own_address(0)}:{port}" for port in ports]
+    """Return the values that the platform fills into the template of an instance."""
+    addresses = [f"{own_address(0)}:{port}" for port in ports]
     return {
         "nodeName": "front-north-a-1",
         "role": "entry",
@@ -87,13 +87,13 @@
         "region": "north",
         "zones": {"north-a": "north"},
         "listen": dict(
-            zip(("front", "ready", "control", "directory"), place, strict=False)
+            zip(("front", "ready", "control", "directory"), addresses, strict=False)
         ),
         "portRange": [ports[4], ports[4]],
-        "seeds": [place[2]],
+        "seeds": [addresses[2]],
         "limits": {"memoryMb": 300, "maxFds": 4100, "linkMbps": 1000.0},
         "bounds": {"grace": "1s"},
-        "platform": {"address": place[5]},
+        "platform": {"address": addresses[5]},
     }
 
 
@@ -112,14 +112,18 @@
 
 
 @contextmanager
-def instance(root, python, drop=None, change=lambda fields: None):
-    """Run the deploy file's role; yields the process and the address of its health."""
+def instance(root, python, preexec=None, change=lambda fields: None):
+    """Run the role of the deploy file.
+
+    ``preexec`` is called in the child process before the start, ``change`` with the
+    fields of the template. Yields the process, the URL of its health, and its output.
+    """
     role = tomllib.loads((root / "deploy/system.toml").read_text())["roles"]["entry"]
     ports = free_ports(6)
     fields = platform_fields(ports)
     change(fields)
     text = fill_in((root / role["template"]).read_text(), fields)
-    path = str(root / "target/deps")  # is on Python's path on the platform
+    path = str(root / "target/deps")  # on PYTHONPATH on the platform
     with tempfile.NamedTemporaryFile("w") as file, tempfile.TemporaryFile() as output:
         file.write(text)
         file.flush()
@@ -132,7 +136,7 @@
             ),
             stdout=output,
             stderr=output,
-            preexec_fn=drop,
+            preexec_fn=preexec,
         )
         try:
             yield process, f"http://{own_address(0)}:{ports[1]}/health", output
@@ -141,12 +145,12 @@
             process.wait()
 
 
-def answers(address, process, output):
-    """Return whether an instance answers, as soon as it does or has ended."""
-    end = time.monotonic() + STARTED_S
-    while time.monotonic() < end and process.poll() is None:
+def wait_for_response(url, process, output):
+    """Return whether an instance responds, or False if it ends or times out first."""
+    deadline = time.monotonic() + START_TIMEOUT_S
+    while time.monotonic() < deadline and process.poll() is None:
         try:
-            return urllib.request.urlopen(address, timeout=1).status == 200
+            return urllib.request.urlopen(url, timeout=1).status == 200
         except urllib.error.HTTPError:
             return True
         except OSError:
@@ -156,50 +160,50 @@
     return False
 
 
-def become_unnamed():
+def become_nameless_user():
     if os.geteuid() == 0:
         os.setgroups([])
-        os.setgid(UNNAMED)
-        os.setuid(UNNAMED)
+        os.setgid(NAMELESS_ID)
+        os.setuid(NAMELESS_ID)
 
 
-# "The system did not start from its deploy file": built by one Python, run by another.
+# An instance did not start with another Python than the one that had run the build.
 def test_each_python_starts_from_one_build():
     found = interpreters()
     assert found
     for python in found:
         with instance(built_checkout(), python) as (process, health, output):
-            assert answers(health, process, output), python
+            assert wait_for_response(health, process, output), python
             process.terminate()
-            assert process.wait(STARTED_S) == 0, python
+            assert process.wait(START_TIMEOUT_S) == 0, python
 
 
-# The same failure where the instances run as a user who has no name, owns nothing and
-# can't write: each start asked for the user's name.
-def test_a_user_without_a_name_starts_from_the_build():
-    python = "/usr/bin/python3"  # a home folder may be closed to this user
-    if not os.access(python, os.X_OK) or (release_of(python) or ()) < OLDEST:
+# An instance did not start as a user without a name, who owns nothing and can't write:
+# each start looked up the name of the user.
+def test_instance_starts_as_a_user_without_a_name():
+    python = "/usr/bin/python3"  # others may be in a home folder closed to this user
+    if not os.access(python, os.X_OK) or (release_of(python) or ()) < OLDEST_RELEASE:
         python = interpreters()[0]
     root = built_checkout()
-    with instance(root, python, become_unnamed) as (process, health, output):
-        assert answers(health, process, output)
+    with instance(root, python, become_nameless_user) as (process, health, output):
+        assert wait_for_response(health, process, output)
         process.terminate()
-        assert process.wait(STARTED_S) == 0
+        assert process.wait(START_TIMEOUT_S) == 0
 
 
-# The same failure where the platform has no value for what an instance can do without.
-def test_an_instance_starts_without_what_it_can_do_without():
+# An instance did not start when the platform had no value for an optional field.
+def test_instance_starts_without_optional_fields():
     def change(fields):
         for name in ("zones", "seeds", "limits", "bounds", "role"):
             del fields[name]
 
     root = built_checkout()
     with instance(root, interpreters()[0], change=change) as (process, health, output):
-        assert answers(health, process, output)
+        assert wait_for_response(health, process, output)
 
 
-# The same failure where a value has a form that is not known.
-def test_an_instance_starts_with_values_that_it_can_not_read():
+# An instance did not start when the value of an optional field was malformed.
+def test_instance_starts_with_malformed_optional_fields():
     def change(fields):
         fields["bounds"] = ["grace=6s", "coldSlack=much", "drain"]
         fields["limits"] = {"memoryMb": "plenty", "maxFds": 0, "linkMbps": None}
@@ -207,10 +211,10 @@
 
     root = built_checkout()
     with instance(root, interpreters()[0], change=change) as (process, health, output):
-        assert answers(health, process, output)
-        process.terminate()  # lines of the log wait for one another until the end
-        assert process.wait(STARTED_S) == 0
+        assert wait_for_response(health, process, output)
+        process.terminate()  # the log is complete only after the end
+        assert process.wait(START_TIMEOUT_S) == 0
         output.seek(0)
-        said = output.read().decode()
+        log = output.read().decode()
     for path in ("/bounds/coldSlack", "/memory_mb", "/connections", "/seeds/0"):
-        assert f"path={path}" in said, said
+        assert f"path={path}" in log, log
