--- a/quetzalwall/connection/connection_limiter.py
+++ b/quetzalwall/connection/connection_limiter.py
@@ -69,7 +69,7 @@
             The connection was not accepted in time, or all connections are in use.
         """
         if self.open_count >= self.max_open and not self._close_oldest_idle():
-            message = f"all {self.max_open} connections to endpoints are in use"
+            message = f"all {self.max_open} connections to endpoints are at work"
             raise OSError(errno.EMFILE, message)
         self.open_count += 1
         try:
--- a/quetzalwall/connection/endpoint_client.py
+++ b/quetzalwall/connection/endpoint_client.py
@@ -149,7 +149,7 @@
             if exc is not timer:
                 raise
             error = OutcomeUnknown if attempt.sent else NotRun
-            raise error("no response before the deadline", "await", self.name) from exc
+            raise error("no answer before the deadline", "await", self.name) from exc
         finally:
             timer.close()
             attempt.close()
@@ -294,7 +294,7 @@
             self._req.before_send()
         if is_readable(self._conn.sock):
             # Neither bytes nor a close can respond to a request that was not sent.
-            raise NotRun("data or close before request", "connect", self._client.name)
+            raise NotRun("endpoint spoke first", "connect", self._client.name)
 
     def _is_reusable(self, parser):
         """Return whether all was sent and nothing follows the response."""
@@ -334,10 +334,10 @@
             raise error(str(exc), "read", name) from exc
         except HTTPParseError as exc:
             error = IncompleteAnswer if parser.received_bytes else OutcomeUnknown
-            raise error(f"malformed response: {exc}", "read", name) from exc
+            raise error(f"not an answer: {exc}", "read", name) from exc
         if not data and not parser.responses:
             error = IncompleteAnswer if parser.received_bytes else OutcomeUnknown
-            raise error("endpoint closed the connection", "read", name)
+            raise error("connection was closed", "read", name)
 
     def _reserve(self, data, parser, name):
         """Reserve memory for bytes before they are parsed; raise if too many."""
@@ -348,11 +348,11 @@
             else reservation.budget.max_response_bytes
         )
         if size > limit or parser.exceeds_overhead():
-            raise IncompleteAnswer("response is too long", "read", name)
+            raise IncompleteAnswer("answer is too long", "read", name)
         if reservation is None:
             return
         if not reservation.try_reserve(len(data)):
-            raise IncompleteAnswer("no memory for the response", "read", name)
+            raise IncompleteAnswer("no memory for the answer", "read", name)
         self._reserved_bytes += len(data)
 
     def _await_bytes(self, parser, name):
@@ -365,7 +365,7 @@
                 return
             except TimeoutError:
                 if abandon():
-                    message = "endpoint is unresponsive"
+                    message = "endpoint answers nobody"
                     raise OutcomeUnknown(message, "await", name) from None
 
 
@@ -374,7 +374,7 @@
     matched = found[index]
     same = [other for other in found if other.request_id == matched.request_id]
     if any(other.not_run != matched.not_run for other in same):
-        raise IncompleteAnswer("request both rejected and served", "match", name)
+        raise IncompleteAnswer("endpoint refused and answered", "match", name)
 
 
 def _send_all(sock, raw):
--- a/quetzalwall/connection/json_client.py
+++ b/quetzalwall/connection/json_client.py
@@ -84,7 +84,7 @@
                 raise
             # The cause of the time-out may have affected the idle connections too.
             self._http.close_idle()
-            raise PeerError(f"no response in {limit_s} s", target, self.peer) from exc
+            raise PeerError(f"no answer in {limit_s} s", target, self.peer) from exc
         finally:
             timeout.close()
 
@@ -102,14 +102,14 @@
             decoded = msgspec.json.decode(raw) if raw else None
             return JsonResponse(res.status_code, decoded)
         except msgspec.DecodeError as exc:
-            raise PeerError("response is not JSON", target, self.peer) from exc
+            raise PeerError("answer is not JSON", target, self.peer) from exc
 
 
 def _read_bounded(res):
     try:
         raw = res.read(MAX_RESPONSE_BYTES)
         if not res.message_complete:
-            raise OSError(f"response is longer than {MAX_RESPONSE_BYTES} bytes")
+            raise OSError(f"answer is longer than {MAX_RESPONSE_BYTES} bytes")
         return raw
     finally:
         res.release()
--- a/quetzalwall/connection/product_dialect.py
+++ b/quetzalwall/connection/product_dialect.py
@@ -50,9 +50,7 @@
         raise BadRequest(400, f"{DEADLINE_HEADER} is not a number: {text[:40]}")
     key = environ.get("HTTP_IDEMPOTENCY_KEY", "")
     if len(key) > MAX_KEY_CHARACTERS or not key.isprintable():
-        raise BadRequest(
-            400, f"Idempotency-Key is unprintable or longer than {MAX_KEY_CHARACTERS}"
-        )
+        raise BadRequest(400, f"Idempotency-Key is longer than {MAX_KEY_CHARACTERS}")
     return RequestMetadata(
         request_id=uuid4().hex,
         timeout_s=None if text is None else int(text) / 1000,
--- a/quetzalwall/connection/response_parser.py
+++ b/quetzalwall/connection/response_parser.py
@@ -119,7 +119,7 @@
             if name.lower() == TRANSFER_ENCODING
         ]
         if any(value.strip().lower() != "chunked" for value in codings):
-            raise HTTPParseError(f"unsupported transfer coding: {codings}")
+            raise HTTPParseError(f"body in an unknown coding: {codings}")
         return result
 
     def _on_message_complete(self):
--- a/quetzalwall/connection/single_attempt.py
+++ b/quetzalwall/connection/single_attempt.py
@@ -219,7 +219,7 @@
         if req.request_id and echoed is not None and echoed != req.request_id:
             res.discard()
             raise OutcomeUnknown(
-                f"response names request {echoed}", step="match answer", peer=self.peer
+                f"answer is for request {echoed}", step="match answer", peer=self.peer
             )
         return res
 
@@ -289,7 +289,7 @@
             if not self._is_complete:
                 raise
         if self._received_bytes > MAX_HEAD_BYTES and not self._final_head_complete():
-            raise HTTPParseError("response head is too long")
+            raise HTTPParseError("head is too long")
         if self._is_complete:
             self.release()
 
--- a/quetzalwall/platform/store.py
+++ b/quetzalwall/platform/store.py
@@ -271,9 +271,9 @@
         target = f"{path}?{urlencode(query)}"
         body = self._call_for_body("GET", target, None, self.timeout_s + wait_s)
         if not isinstance(body, dict) or not isinstance(body.get("rows"), list):
-            raise StoreUnavailable("no rows in response", step=path, peer=STORE_PEER)
+            raise StoreUnavailable("answer has no rows", step=path, peer=STORE_PEER)
         if not isinstance(body.get("ver"), int):
-            raise StoreUnavailable("no version in response", step=path, peer=STORE_PEER)
+            raise StoreUnavailable("answer has no version", step=path, peer=STORE_PEER)
         return body
 
     def _call_for_body(self, method, target, body, timeout_s):
@@ -286,7 +286,7 @@
         except PeerError as exc:
             raise StoreUnavailable(exc.message, step=step, peer=STORE_PEER) from exc
         if response.status == 410:
-            raise HistoryGone("changes no longer stored", step=step, peer=STORE_PEER)
+            raise HistoryGone("history is gone", step=step, peer=STORE_PEER)
         if response.status in (429, 503) or response.status >= 500:
             raise StoreUnavailable(f"status {response.status}", step, STORE_PEER)
         if response.status not in accepted:
--- a/quetzalwall/process/storage/settings_admin.py
+++ b/quetzalwall/process/storage/settings_admin.py
@@ -73,7 +73,7 @@
         team = body["team"]
         if not self._is_authorized(team, credential):
             log_event(LOG, "refused", "warning", team=team, reason="credential")
-            return 403, {"message": f"credential does not belong to team {team}"}
+            return 403, {"message": f"credential is not that of team {team}"}
         try:
             version = put_subtree(
                 self._table,
@@ -153,7 +153,7 @@
     field_types = {"team": str, "subtree": dict, "base": int, "author": str}
     for field, field_type in field_types.items():
         if not isinstance(body.get(field), field_type):
-            return f"{field} is required and must be of type {field_type.__name__}"
+            return f"{field} must be given as {field_type.__name__}"
     return None
 
 
--- a/quetzalwall/process/storage/write_batcher.py
+++ b/quetzalwall/process/storage/write_batcher.py
@@ -121,7 +121,7 @@
         """
         write = RowWrite(key, expected_version, value, deadline)
         if self._queue.full():
-            raise StoreUnavailable("too many pending writes", "queue write", "table")
+            raise StoreUnavailable("too many writes wait", "queue write", "table")
         self._queue.put(write)
         remaining_s = max(0.0, deadline - self._clock.monotonic())
         try:
--- a/quetzalwall/request/send_checks.py
+++ b/quetzalwall/request/send_checks.py
@@ -55,6 +55,6 @@
     check_caller_connected(req)
     name = choice.state.name
     if not endpoints.is_routable(choice.state):
-        raise NotSent("the endpoint accepts no new requests", "admission", name)
+        raise NotSent("the endpoint leaves", "admission", name)
     if not chooser.fits(req.route, choice, req.deadline - now, grace.end - now):
         raise NotSent(STOPPING.reason, "admission", name)
--- a/quetzalwall/version/check.py
+++ b/quetzalwall/version/check.py
@@ -125,7 +125,7 @@
     if len(document) != len(pairs):
         names = [name for name, _ in pairs]
         duplicates = sorted({name for name in names if names.count(name) > 1})
-        raise ValueError(f"duplicate key: {', '.join(duplicates)}")
+        raise ValueError(f"key stands twice: {', '.join(duplicates)}")
     return document
 
 
@@ -223,7 +223,7 @@
                 path = f"/{team}/services/{service}/endpoints/{name}"
                 faults += self._location_faults(path, endpoint)
                 if owners.setdefault(name, service) != service:
-                    message = f"endpoint is also defined in service {owners[name]}"
+                    message = f"endpoint also stands in service {owners[name]}"
                     faults.append(Fault(self.file, path, name, message))
         return faults
 
--- a/quetzalwall/version/settings_store.py
+++ b/quetzalwall/version/settings_store.py
@@ -99,7 +99,7 @@
             last_error = exc
             sleep(RETRY_PAUSE_S)
     raise StoreUnavailable(
-        f"change {token} may have been accepted: {last_error or 'too many conflicts'}",
+        f"change {token} may have been accepted: {last_error or 'too many changes'}",
         step="put settings",
         peer="table",
     )
@@ -134,9 +134,7 @@
         rows = table.read([*keys.values(), HEAD_KEY])
         if rows[HEAD_KEY].version == head_row.version:
             return head_row, head, {t: rows[key].value for t, key in keys.items()}
-    raise StoreUnavailable(
-        "settings changed during each read", "read settings", "table"
-    )
+    raise StoreUnavailable("settings change too fast", "read settings", "table")
 
 
 def _accepted_version(table, token, first, newest):
