--- a/benchmarks/cases/named_limits.py
+++ b/benchmarks/cases/named_limits.py
@@ -1,6 +1,6 @@
-"""Load on endpoints that name limits, against the bound of the platform."""
+"""Load on endpoints that advertise limits, compared with the platform's bound."""
 
-from benchmarks.limit_load import LimitPattern, judge, play
+from benchmarks.limit_simulation import LimitPattern, compare_with_limit, play
 from benchmarks.rows import make_row
 
 __all__ = ["run"]
@@ -12,12 +12,12 @@
     "second by up to 24 times can be overrun: after a second in which nobody sent "
     "anything, nobody knows that it has fallen."
 )
-SEEDS = {7: (1, 2, 3), 26: (1, 2, 3), 100: (1,)}
-ENDPOINTS = 12
-SECONDS = 32.0
-DEMAND = 2.0  # of what the limits allow together
-FIRST_S = 3.0  # before any limit is named
-SWINGS = (0.5, 1, 2, 4, 8, 12)
+SEEDS_BY_INSTANCE_COUNT = {7: (1, 2, 3), 26: (1, 2, 3), 100: (1,)}
+ENDPOINT_COUNT = 12
+DURATION_S = 32.0
+DEMAND_RATIO = 2.0  # callers' requests to what all limits together allow
+FIRST_LIMIT_S = 3.0  # before it no endpoint advertises a limit
+CHANGING_LIMITS = (0.5, 1, 2, 4, 8, 12)
 
 
 def run():
@@ -28,69 +28,95 @@
     list of Row
     """
     rows = []
-    for instances, seeds in SEEDS.items():
-        for name, limit, mean in _patterns():
+    for instances, seeds in SEEDS_BY_INSTANCE_COUNT.items():
+        for name, limit, mean in _limit_patterns():
             rows += _rows(instances, seeds, name, limit, mean, True)
-        name, limit, mean = next(_patterns())
+        name, limit, mean = next(_limit_patterns())
         rows += _rows(instances, seeds, name, limit, mean, False)
     return rows
 
 
-def _patterns():
-    yield "5 a second", _from_first(lambda number, now: 5.0), 5.0
-    yield "0.5 a second", _from_first(lambda number, now: 0.5), 0.5
-    yield "20 a second", _from_first(lambda number, now: 20.0), 20.0
-    yield "every other endpoint, 3", _from_first(_some), 3.0
-    yield "7 of 12 s, 4", _from_first(_comes_and_goes), 4.0
-    yield "changing each second", _swinging(), 4.0
+def _limit_patterns():
+    """Yield the name, limit function and mean requests a second of each pattern."""
+    yield "5 a second", _after_first_limit(lambda number, now: 5.0), 5.0
+    yield "0.5 a second", _after_first_limit(lambda number, now: 0.5), 0.5
+    yield "20 a second", _after_first_limit(lambda number, now: 20.0), 20.0
+    yield "every other endpoint, 3", _after_first_limit(_every_other), 3.0
+    yield "7 of 12 s, 4", _after_first_limit(_intermittent), 4.0
+    yield "changing each second", _changing(), 4.0
 
 
-def _from_first(limit):
-    return lambda number, now, rng: limit(number, now) if now >= FIRST_S else None
+def _after_first_limit(limit):
+    return lambda number, now, rng: limit(number, now) if now >= FIRST_LIMIT_S else None
 
 
-def _some(number, now):
+def _every_other(number, now):
     return 3.0 if number % 2 else None
 
 
-def _comes_and_goes(number, now):
+def _intermittent(number, now):
     return 4.0 if int(now) % 12 < 7 else None
 
 
-def _swinging():
-    drawn = {}
+def _changing():
+    limits = {}
 
     def limit(number, now, rng):
-        if now < FIRST_S:
+        if now < FIRST_LIMIT_S:
             return None
         key = (number, int(now))
-        if key not in drawn:
-            drawn[key] = rng.choice(SWINGS)
-        return drawn[key]
+        if key not in limits:
+            limits[key] = rng.choice(CHANGING_LIMITS)
+        return limits[key]
 
     return limit
 
 
-def _rows(instances, seeds, name, limit, mean, keeps):
-    hit = max(1, instances // 10)
+def _rows(instances, seeds, name, limit, mean, enforced):
+    fault_count = max(1, instances // 10)
     faults = (
-        ("kill", 8.0, hit, 2.0),
-        ("pause", 13.0, hit, 2.5),
-        ("cut", 18.0, hit, 3.0),
-        ("add", 23.0, hit, 0.0),
+        ("kill", 8.0, fault_count, 2.0),
+        ("pause", 13.0, fault_count, 2.5),
+        ("cut", 18.0, fault_count, 3.0),
+        ("add", 23.0, fault_count, 0.0),
     )
-    per_s = ENDPOINTS * mean * DEMAND
-    pattern = LimitPattern(instances, ENDPOINTS, limit, per_s, SECONDS, faults, keeps)
-    worst, used = [], []
+    requests_per_s = ENDPOINT_COUNT * mean * DEMAND_RATIO
+    pattern = LimitPattern(
+        instances, ENDPOINT_COUNT, limit, requests_per_s, DURATION_S, faults, enforced
+    )
+    max_fractions, used_fractions = [], []
     for seed in seeds:
-        arrivals, named, _ = play(pattern, seed)
-        judged = [judge(*pair) for pair in zip(arrivals, named, strict=True)]
-        judged = [(most, part) for most, part in judged if most]
-        worst.append(max(most for most, _ in judged))
-        used.append(sum(part for _, part in judged) / len(judged))
-    policy = "limits kept" if keeps else "without"
-    place = f"{instances} instances, {name}"
+        arrivals, advertised, _ = play(pattern, seed)
+        usage = [
+            compare_with_limit(*pair) for pair in zip(arrivals, advertised, strict=True)
+        ]
+        usage = [
+            (max_fraction, used_fraction)
+            for max_fraction, used_fraction in usage
+            if max_fraction
+        ]
+        max_fractions.append(max(max_fraction for max_fraction, _ in usage))
+        used_fractions.append(
+            sum(used_fraction for _, used_fraction in usage) / len(usage)
+        )
+    policy = "limits kept" if enforced else "without"
+    deployment = f"{instances} instances, {name}"
     return [
-        make_row("most in 4 s, of the bound", place, policy, worst, "", "<= 1", True),
-        make_row("part of the limit that is used", place, policy, used, "", ">= 0.9"),
+        make_row(
+            "most in 4 s, of the bound",
+            deployment,
+            policy,
+            max_fractions,
+            "",
+            "<= 1",
+            True,
+        ),
+        make_row(
+            "part of the limit that is used",
+            deployment,
+            policy,
+            used_fractions,
+            "",
+            ">= 0.9",
+        ),
     ]
--- a/benchmarks/cases/platform_choice.py
+++ b/benchmarks/cases/platform_choice.py
@@ -1,4 +1,4 @@
-"""Choice of endpoints on the platform, over load patterns and without a network."""
+"""Simulated choice of endpoints on the platform, by load pattern and policy."""
 
 from benchmarks.load_pattern import (
     BEYOND_COLD,
@@ -10,7 +10,7 @@
     SURGE,
     TROUBLE,
 )
-from benchmarks.platform_load import CHOICES, play
+from benchmarks.platform_load import POLICIES, play
 from benchmarks.rows import make_row
 
 __all__ = ["run"]
@@ -44,13 +44,13 @@
     list of Row
     """
     return [
-        _row(name, pattern, choice)
+        _row(name, pattern, policy)
         for name, pattern in PATTERNS.items()
-        for choice in CHOICES
+        for policy in POLICIES
     ]
 
 
-def _row(name, pattern, choice):
-    found = [100 * play(pattern, choice, seed).in_target for seed in SEEDS]
-    bound = BOUND if choice == "ours" else ""
-    return make_row(f"in target, {name}", "model", choice, found, "%", bound, True)
+def _row(name, pattern, policy):
+    percents = [100 * play(pattern, policy, seed).in_target for seed in SEEDS]
+    bound = BOUND if policy == "ours" else ""
+    return make_row(f"in target, {name}", "model", policy, percents, "%", bound, True)
--- a/benchmarks/load_pattern.py
+++ b/benchmarks/load_pattern.py
@@ -1,4 +1,4 @@
-"""What a load without a network looks like, and what became of it."""
+"""Load patterns for the simulated choice of endpoints, and the result of a run."""
 
 from typing import NamedTuple
 
@@ -18,67 +18,72 @@
 
 
 class Pattern(NamedTuple):
-    """A load.
+    """A load, and the endpoints and instances that it is put on.
 
     Attributes
     ----------
-    per_s : float
+    requests_per_s : float
         Requests a second.
     work_s : float
-        Mean work of a request whose object the endpoint does not hold.
+        Mean work of a request whose object the endpoint has not cached, in seconds.
     target_s, timeout_s : float
-        Response time aimed at, and the longest wait.
+        Target response time and time-out, in seconds.
     objects : int
-        Objects that requests concern; each belongs to one region.
-    kept : int
-        Objects that an endpoint holds.
+        Number of objects that requests concern; each belongs to one region.
+    cache_size : int
+        Number of objects that an endpoint caches.
     endpoints, slots, instances : int
-        Sizes; instances and endpoints are spread evenly over three regions.
-    span_s : float
-        Length of the load.
-    slow : float
-        How many times as long work takes on one endpoint in seven.
-    noise : float
-        Part of the time in which an endpoint's neighbours make it 2.5 times as slow.
-    tail : float
-        Part of the requests that take seven times as long.
-    lost_at_s : float or None
-        When one endpoint in five answers nothing for two seconds, and then holds
-        nothing.
-    returns : bool
-        Whether callers that are refused come back once when told to.
-    surge : float
-        How many times as many requests come in the middle third of the span.
-    region_lost_at_s : float or None
-        When all endpoints and callers of one region are lost, and the registry says so.
+        Number of endpoints, of slots per endpoint and of instances; instances and
+        endpoints are spread evenly over three regions.
+    duration_s : float
+        Length of the load, in seconds.
+    slow_ratio : float
+        Factor by which work takes longer on one endpoint in seven.
+    noisy_fraction : float
+        Fraction of the time in which an endpoint is 2.5 times as slow because of its
+        neighbours.
+    long_fraction : float
+        Fraction of the requests that have seven times the work.
+    endpoints_fail_at_s : float or None
+        When one endpoint in five loses its cache and stops accepting requests; it
+        accepts them again after two seconds.
+    retry_rejected : bool
+        Whether callers send a rejected request once more, after the delay that the
+        rejection names.
+    surge_ratio : float
+        Factor by which there are more requests in the middle third of the load.
+    region_fails_at_s : float or None
+        When all endpoints of one region fail and are unregistered; callers there are
+        served in the next region.
     """
 
-    per_s: float
+    requests_per_s: float
     work_s: float = 0.6
     target_s: float = 0.6
     timeout_s: float = 2.0
     objects: int = 72
-    kept: int = 40
+    cache_size: int = 40
     endpoints: int = 15
     slots: int = 6
     instances: int = 6
-    span_s: float = 30.0
-    slow: float = 1.0
-    noise: float = 0.0
-    tail: float = 0.0
-    lost_at_s: float | None = None
-    returns: bool = False
-    surge: float = 1.0
-    region_lost_at_s: float | None = None
+    duration_s: float = 30.0
+    slow_ratio: float = 1.0
+    noisy_fraction: float = 0.0
+    long_fraction: float = 0.0
+    endpoints_fail_at_s: float | None = None
+    retry_rejected: bool = False
+    surge_ratio: float = 1.0
+    region_fails_at_s: float | None = None
 
 
 class Result(NamedTuple):
-    """What became of the requests, as parts of all.
+    """Outcomes of the requests, as fractions of all requests.
 
     Attributes
     ----------
     in_target, late, refused, timed_out : float
-        They add up to 1.
+        Responded within the target time, responded later, rejected and timed out; the
+        sum is 1.
     """
 
     in_target: float
@@ -87,29 +92,30 @@
     timed_out: float
 
 
-QUIET = Pattern(per_s=90.0)
-# Cold endpoints could serve 150 requests a second, and 500 once they hold the objects:
-# with long queues of requests that time out, they never come to hold them.
-COLD_START = Pattern(per_s=260.0)
-# As much again: what can't be served in time has to be refused, not queued.
-BEYOND_COLD = COLD_START._replace(per_s=400.0)
-# Endpoints hold few objects, which has to be learned from their answers.
-FEW_HELD = Pattern(per_s=150.0, kept=8)
-FEW_AN_OBJECT = Pattern(per_s=30.0, objects=150, endpoints=15, slots=3)
-SLOW_NEIGHBOURS = Pattern(per_s=90.0, slow=4.0)
-# More work than cold endpoints can do while one in five falls silent and comes back
-# without its objects, neighbours make others slow, and who is refused comes back.
+QUIET = Pattern(requests_per_s=90.0)
+# Endpoints can serve 150 requests a second with empty caches, and 500 with the objects
+# cached; long queues of requests that time out would keep the caches from filling.
+COLD_START = Pattern(requests_per_s=260.0)
+# What can't be served in time has to be rejected, not queued.
+BEYOND_COLD = COLD_START._replace(requests_per_s=400.0)
+# Endpoints cache few objects, which has to be learned from their responses.
+FEW_HELD = Pattern(requests_per_s=150.0, cache_size=8)
+FEW_AN_OBJECT = Pattern(requests_per_s=30.0, objects=150, endpoints=15, slots=3)
+SLOW_NEIGHBOURS = Pattern(requests_per_s=90.0, slow_ratio=4.0)
+# More work than endpoints with empty caches can process, while one in five becomes
+# unresponsive and returns with an empty cache, some are slowed by their neighbours, and
+# rejected requests are sent again.
 TROUBLE = Pattern(
-    per_s=190.0,
+    requests_per_s=190.0,
     work_s=0.7,
     objects=80,
-    kept=20,
+    cache_size=20,
     instances=9,
-    noise=0.15,
-    tail=0.03,
-    lost_at_s=4.0,
-    returns=True,
-    span_s=14.0,
+    noisy_fraction=0.15,
+    long_fraction=0.03,
+    endpoints_fail_at_s=4.0,
+    retry_rejected=True,
+    duration_s=14.0,
 )
-SURGE = Pattern(per_s=110.0, surge=3.0, returns=True)
-REGION_LOST = Pattern(per_s=150.0, region_lost_at_s=10.0, returns=True)
+SURGE = Pattern(requests_per_s=110.0, surge_ratio=3.0, retry_rejected=True)
+REGION_LOST = Pattern(requests_per_s=150.0, region_fails_at_s=10.0, retry_rejected=True)
--- a/benchmarks/platform_load.py
+++ b/benchmarks/platform_load.py
@@ -1,8 +1,9 @@
-"""Load patterns played against the choice of endpoints, without a network.
+"""Simulation of the choice of endpoints under load patterns, without a network.
 
-Instances run the daemon's own code for knowledge and choice on a clock that the player
-moves. Endpoints are modelled: slots, a queue in order of arrival, and the objects that
-they served last, whose requests take a part of the time.
+Instances run the daemon's own code for the cluster state and the choice, on a simulated
+clock. Endpoints are models: slots, a first-in first-out queue, and a cache of the
+objects that they served last; a request for a cached object takes a fraction of the
+work.
 """
 
 import heapq
@@ -26,70 +27,72 @@
 
 __all__ = ["Pattern", "Result", "play"]
 
-GOSSIP_S = 0.1
+REPORT_PERIOD_S = 0.1
 SERVICE = "desk"
-NOISE_S = 0.6  # for which an endpoint's neighbours stay as they are
-NOISE_RATIO = 2.5
-TAIL_RATIO = 7.0
-LOST_ONE_IN = 5
-DARK_S = 2.0
-HELD_PART = 0.3  # of the work, where the endpoint served the object lately
+NOISE_PERIOD_S = 0.6  # after which the endpoints with noisy neighbours are drawn anew
+NOISE_SLOWDOWN = 2.5
+LONG_WORK_RATIO = 7.0
+FAILURE_STRIDE = 5  # every fifth endpoint fails
+OUTAGE_S = 2.0
+CACHED_WORK_FRACTION = 0.3  # of the work, if the endpoint has the object cached
 
 
 class _Endpoint:
     def __init__(self, pattern, slowness):
         self.pattern = pattern
         self.slowness = slowness
-        self.noise = 1.0
-        self.dark = False
-        self.busy = 0
+        self.noise_slowdown = 1.0
+        self.unresponsive = False
+        self.slots_in_use = 0
         self.queue = deque()
-        self.held = OrderedDict()
+        self.cached = OrderedDict()
 
-    def work_s(self, req):
-        part = HELD_PART if req.object in self.held else 1.0
-        return req.work_s * part * self.present_slowness()
+    def slot_time_s(self, req):
+        fraction = CACHED_WORK_FRACTION if req.key in self.cached else 1.0
+        return req.work_s * fraction * self.current_slowness()
 
-    def present_slowness(self):
-        return self.slowness * self.noise
+    def current_slowness(self):
+        return self.slowness * self.noise_slowdown
 
-    def lose(self):
-        self.dark = True
-        self.held.clear()
+    def fail(self):
+        self.unresponsive = True
+        self.cached.clear()
 
-    def come_back(self):
-        self.dark = False
+    def recover(self):
+        self.unresponsive = False
 
-    def note(self, key):
-        self.held[key] = True
-        self.held.move_to_end(key)
-        if len(self.held) > self.pattern.kept:
-            self.held.popitem(last=False)
+    def cache(self, key):
+        self.cached[key] = True
+        self.cached.move_to_end(key)
+        if len(self.cached) > self.pattern.cache_size:
+            self.cached.popitem(last=False)
 
 
 class _Request:
-    def __init__(self, arrived, region, key, work_s):
-        self.arrived = arrived
+    """A request; its slot time is None once it has a response or has timed out."""
+
+    def __init__(self, arrived_at, region, key, work_s):
+        self.arrived_at = arrived_at
         self.region = region
-        self.object = key
+        self.key = key
         self.work_s = work_s
         self.choice = None
         self.instance = None
-        self.work = 0.0
-        self.returned = False
+        self.slot_time_s = 0.0
+        self.retried = False
         self.retry_after_s = 0.2
 
 
 class _Instance:
-    def __init__(self, number, pattern, player):
+    def __init__(self, number, pattern, simulation):
         region = f"region-{number % 3}"
         self.region = region
         domains = {f"domain-{n}": f"region-{n}" for n in range(3)}
-        endpoints = create_endpoint_table(domains, parse_response, player.monotonic)
+        endpoints = create_endpoint_table(domains, parse_response, simulation.monotonic)
         info = PeerInfo(f"front-{number}", region, f"domain-{number % 3}", f"h{number}")
-        self.fleet = create_fleet(info, 1, endpoints, player.monotonic, number + 1)
+        self.fleet = create_fleet(info, 1, endpoints, simulation.monotonic, number + 1)
         cluster_state = create_cluster_state(endpoints, self.fleet)
-        cluster_state.apply("servers", player.rows, True, False)
+        cluster_state.apply("servers", simulation.rows, True, False)
         self.endpoints = endpoints
         self.cluster_state = cluster_state
         self.latency = create_latency_model(region)
@@ -102,22 +105,22 @@
         )
 
 
-class _Player:
-    def __init__(self, pattern, choose, seed):
+class _Simulation:
+    def __init__(self, pattern, choose_endpoint, seed):
         self.pattern = pattern
         self.now = 100.0
         self.rng = random.Random(seed)
-        self.choose = choose
+        self.choose_endpoint = choose_endpoint
         self.events = []
-        self.lost_region = None
-        self.order = itertools.count()
+        self.failed_region = None
+        self.event_numbers = itertools.count()
         self.counts = {"in_target": 0, "late": 0, "refused": 0, "timed_out": 0}
         names = [f"ep-{n}" for n in range(pattern.endpoints)]
         self.rows = Rows(
-            [RowChange(n, _entry(i, pattern), 1) for i, n in enumerate(names)], 1
+            [RowChange(n, _endpoint_row(i, pattern), 1) for i, n in enumerate(names)], 1
         )
         self.endpoints = {
-            name: _Endpoint(pattern, pattern.slow if n % 7 == 0 else 1.0)
+            name: _Endpoint(pattern, pattern.slow_ratio if n % 7 == 0 else 1.0)
             for n, name in enumerate(names)
         }
         self.instances = [_Instance(n, pattern, self) for n in range(pattern.instances)]
@@ -141,137 +144,145 @@
     def monotonic(self):
         return self.now
 
-    def at(self, when, step, *args):
-        heapq.heappush(self.events, (when, next(self.order), step, args))
+    def schedule(self, at, action, *args):
+        heapq.heappush(self.events, (at, next(self.event_numbers), action, args))
 
     def run(self):
-        end = self.now + self.pattern.span_s
-        self.at(self.now, self.gossip)
-        self.at(self.now, self.arrive, end)
-        self.trouble(end)
+        end = self.now + self.pattern.duration_s
+        self.schedule(self.now, self.exchange_reports)
+        self.schedule(self.now, self.generate_request, end)
+        self.schedule_failures(end)
         while self.events:
-            self.now, _, step, args = heapq.heappop(self.events)
-            step(*args)
+            self.now, _, action, args = heapq.heappop(self.events)
+            action(*args)
             if self.now > end + self.pattern.timeout_s:
                 break
         total = sum(self.counts.values())
         return Result(*(self.counts[name] / total for name in Result._fields))
 
-    def rate(self, end):
-        begun = (self.pattern.span_s - (end - self.now)) / self.pattern.span_s
-        surging = 1 / 3 <= begun < 2 / 3
-        return self.pattern.per_s * (self.pattern.surge if surging else 1.0)
+    def current_rate(self, end):
+        elapsed = (self.pattern.duration_s - (end - self.now)) / self.pattern.duration_s
+        surging = 1 / 3 <= elapsed < 2 / 3
+        return self.pattern.requests_per_s * (
+            self.pattern.surge_ratio if surging else 1.0
+        )
 
-    def lose_region(self):
+    def fail_region(self):
         names = [name for n, name in enumerate(self.endpoints) if n % 3 == 0]
-        self.lost_region = "region-0"
+        self.failed_region = "region-0"
         for name in names:
-            self.endpoints[name].lose()
+            self.endpoints[name].fail()
         removed = Rows([RowChange(name, None, 2) for name in names], 2)
         for instance in self.instances:
             instance.cluster_state.apply("servers", removed, False, False)
 
-    def trouble(self, end):
-        if self.pattern.region_lost_at_s is not None:
-            self.at(self.now + self.pattern.region_lost_at_s, self.lose_region)
-        if self.pattern.noise:
-            self.at(self.now, self.change_noise, end)
-        if self.pattern.lost_at_s is not None:
-            lost = list(self.endpoints.values())[::LOST_ONE_IN]
-            for endpoint in lost:
-                self.at(self.now + self.pattern.lost_at_s, endpoint.lose)
-                back = self.now + self.pattern.lost_at_s + DARK_S
-                self.at(back, endpoint.come_back)
+    def schedule_failures(self, end):
+        if self.pattern.region_fails_at_s is not None:
+            self.schedule(self.now + self.pattern.region_fails_at_s, self.fail_region)
+        if self.pattern.noisy_fraction:
+            self.schedule(self.now, self.change_noise, end)
+        if self.pattern.endpoints_fail_at_s is not None:
+            failing = list(self.endpoints.values())[::FAILURE_STRIDE]
+            for endpoint in failing:
+                self.schedule(
+                    self.now + self.pattern.endpoints_fail_at_s, endpoint.fail
+                )
+                recovery_at = self.now + self.pattern.endpoints_fail_at_s + OUTAGE_S
+                self.schedule(recovery_at, endpoint.recover)
 
     def change_noise(self, end):
         for endpoint in self.endpoints.values():
-            noisy = self.rng.random() < self.pattern.noise
-            endpoint.noise = NOISE_RATIO if noisy else 1.0
+            noisy = self.rng.random() < self.pattern.noisy_fraction
+            endpoint.noise_slowdown = NOISE_SLOWDOWN if noisy else 1.0
         if self.now < end:
-            self.at(self.now + NOISE_S, self.change_noise, end)
+            self.schedule(self.now + NOISE_PERIOD_S, self.change_noise, end)
 
-    def gossip(self):
+    def exchange_reports(self):
         hosts = {instance.fleet.own_info.host: instance for instance in self.instances}
         for instance in self.instances:
             if self.now == 100.0:
                 for other in self.instances:
                     instance.fleet.add_registered(other.fleet.own_info)
-            for report, cards in instance.fleet.due_reports(self.now):
-                for info in cards:
+            for report, recipients in instance.fleet.due_reports(self.now):
+                for info in recipients:
                     hosts[info.host].fleet.receive(report, self.now)
-        self.at(self.now + GOSSIP_S, self.gossip)
+        self.schedule(self.now + REPORT_PERIOD_S, self.exchange_reports)
 
-    def arrive(self, end):
+    def generate_request(self, end):
         if self.now > end:
             return
-        self.at(self.now + self.rng.expovariate(self.rate(end)), self.arrive, end)
+        self.schedule(
+            self.now + self.rng.expovariate(self.current_rate(end)),
+            self.generate_request,
+            end,
+        )
         key = self.rng.randrange(self.pattern.objects)
         region = f"region-{key % 3}"
-        if region == self.lost_region:
-            region = "region-1"  # its callers reach the next one
+        if region == self.failed_region:
+            region = "region-1"  # its callers are sent to the next region
         work_s = self.pattern.work_s * self.rng.lognormvariate(0, 0.15)
-        if self.rng.random() < self.pattern.tail:
-            work_s *= TAIL_RATIO
+        if self.rng.random() < self.pattern.long_fraction:
+            work_s *= LONG_WORK_RATIO
         req = _Request(self.now, region, key, work_s)
-        near = [one for one in self.instances if one.region == region]
-        req.instance = self.rng.choice(near)
+        local = [one for one in self.instances if one.region == region]
+        req.instance = self.rng.choice(local)
         self.send(req)
 
     def send(self, req):
-        name = self.choose(self, req)
+        name = self.choose_endpoint(self, req)
         if name is None:
-            if self.pattern.returns and not req.returned:
-                req.returned = True
-                self.at(self.now + req.retry_after_s, self.send, req)
+            if self.pattern.retry_rejected and not req.retried:
+                req.retried = True
+                self.schedule(self.now + req.retry_after_s, self.send, req)
                 return
             self.counts["refused"] += 1
             return
-        self.at(self.now + self.pattern.timeout_s, self.time_out, req)
+        self.schedule(self.now + self.pattern.timeout_s, self.time_out, req)
         endpoint = self.endpoints[name]
-        if endpoint.dark:
+        if endpoint.unresponsive:
             return
         endpoint.queue.append(req)
-        self.begin(name)
+        self.fill_slots(name)
 
-    def begin(self, name):
+    def fill_slots(self, name):
         endpoint = self.endpoints[name]
-        while endpoint.queue and endpoint.busy < self.pattern.slots:
+        while endpoint.queue and endpoint.slots_in_use < self.pattern.slots:
             req = endpoint.queue.popleft()
-            endpoint.busy += 1
-            req.work = endpoint.work_s(req)
-            self.at(self.now + req.work, self.finish, name, req)
+            endpoint.slots_in_use += 1
+            req.slot_time_s = endpoint.slot_time_s(req)
+            self.schedule(self.now + req.slot_time_s, self.finish, name, req)
 
     def finish(self, name, req):
         endpoint = self.endpoints[name]
-        endpoint.busy -= 1
-        self.begin(name)
-        if req.work is None:
+        endpoint.slots_in_use -= 1
+        self.fill_slots(name)
+        if req.slot_time_s is None:
             return
-        endpoint.note(req.object)
-        took_s = self.now - req.arrived
-        self.counts["in_target" if took_s <= self.pattern.target_s else "late"] += 1
-        self.learn(req, endpoint)
-        req.work = None
+        endpoint.cache(req.key)
+        response_s = self.now - req.arrived_at
+        self.counts["in_target" if response_s <= self.pattern.target_s else "late"] += 1
+        self.record_response(req, endpoint)
+        req.slot_time_s = None
 
-    def learn(self, req, endpoint):
+    def record_response(self, req, endpoint):
         if req.choice is None:
             return
         state = req.choice.state
         state.own_in_flight -= 1
-        state.record_slowness(endpoint.present_slowness(), self.now, own=True)
+        state.record_slowness(endpoint.current_slowness(), self.now, own=True)
         state.record_success()
-        state.record_cached(req.object)
-        req.instance.fleet.announce_cached(state.name, req.object)
+        state.record_cached(req.key)
+        req.instance.fleet.announce_cached(state.name, req.key)
         if req.choice.queueing_delay_s == 0:
-            seconds = req.work / req.choice.slowness
+            work_s = req.slot_time_s / req.choice.slowness
             latency = req.instance.latency
-            latency.record_work(self.route, SERVICE, req.choice.cached, seconds)
+            latency.record_work(self.route, SERVICE, req.choice.cached, work_s)
             latency.learn_cache_size(
-                self.route, SERVICE, req.choice.reuse_distance, seconds
+                self.route, SERVICE, req.choice.reuse_distance, work_s
             )
 
     def time_out(self, req):
-        if req.work is None:
+        if req.slot_time_s is None:
             return
         self.counts["timed_out"] += 1
         if req.choice is not None:
@@ -280,18 +291,18 @@
         for endpoint in self.endpoints.values():
             if req in endpoint.queue:
                 endpoint.queue.remove(req)
-        req.work = None
+        req.slot_time_s = None
 
 
-def choose_ours(player, req):
-    """Return the endpoint that the daemon's code chooses, or None."""
+def choose_ours(simulation, req):
+    """Return the endpoint that the daemon's code chooses; None if it rejects."""
     choice = req.instance.chooser.choose(
-        player.cfg,
-        player.route,
+        simulation.cfg,
+        simulation.route,
         SERVICE,
-        req.object,
-        player.pattern.timeout_s,
-        player.now,
+        req.key,
+        simulation.pattern.timeout_s,
+        simulation.now,
     )
     if isinstance(choice, Rejection):
         req.retry_after_s = choice.retry_after_s
@@ -301,34 +312,42 @@
     return choice.state.name
 
 
-def choose_at_random(player, req):
-    """Return any endpoint."""
-    return player.rng.choice(list(player.endpoints))
+def choose_at_random(simulation, req):
+    """Return a random endpoint."""
+    return simulation.rng.choice(list(simulation.endpoints))
 
 
-def choose_shortest(player, req):
-    """Return the endpoint with the fewest requests, as if all were known."""
+def choose_shortest(simulation, req):
+    """Return the endpoint with the fewest requests, waiting and in progress.
+
+    It sees the requests of all instances, which no instance does.
+    """
     return min(
-        player.endpoints,
+        simulation.endpoints,
         key=lambda name: (
-            player.endpoints[name].busy + len(player.endpoints[name].queue),
-            player.rng.random(),
+            simulation.endpoints[name].slots_in_use
+            + len(simulation.endpoints[name].queue),
+            simulation.rng.random(),
         ),
     )
 
 
-CHOICES = {"ours": choose_ours, "random": choose_at_random, "shortest": choose_shortest}
+POLICIES = {
+    "ours": choose_ours,
+    "random": choose_at_random,
+    "shortest": choose_shortest,
+}
 
 
-def play(pattern, choice="ours", seed=1):
-    """Play a pattern and return what became of its requests.
+def play(pattern, policy="ours", seed=1):
+    """Simulate a load pattern and return the outcomes of its requests.
 
     Parameters
     ----------
     pattern : Pattern
         The load.
-    choice : {"ours", "random", "shortest"}, default="ours"
-        Who chooses; the others are baselines.
+    policy : {"ours", "random", "shortest"}, default="ours"
+        What chooses the endpoints: the daemon's code, or one of two baselines.
     seed : int, default=1
         Seed of arrivals, objects and work.
 
@@ -336,10 +355,10 @@
     -------
     Result
     """
-    return _Player(pattern, CHOICES[choice], seed).run()
+    return _Simulation(pattern, POLICIES[policy], seed).run()
 
 
-def _entry(number, pattern):
+def _endpoint_row(number, pattern):
     body = {
         "service": SERVICE,
         "address": f"10.0.0.{number + 1}:80",
