--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and the endpoints, for demo, tests and figures."""
+"""Fakes of the metadata store and of endpoints, for demo, tests and measurements."""
--- a/standins/endpoints.py
+++ b/standins/endpoints.py
@@ -1,10 +1,15 @@
-"""Stand-in for endpoints: many of them in one process.
-
-Each endpoint has slots, a service time, a limit on connections, and behaviours that
-``POST /control`` on its own port sets: ``slow`` (factor), ``leaving``, ``cold`` (number
-of requests served at a third of the speed), ``shed`` (refuse all), ``fault`` (one of
-``cut``, ``wrong-id``, ``no-echo``, ``hang``), and
-``report`` (a false load report).
+"""Fake endpoints of the product's own dialect, many of them in one process.
+
+Each endpoint has slots, a service time and a limit on connections. ``POST /control`` on
+its port sets its behaviour:
+
+- ``slow``: factor on the service time
+- ``leaving``: drain, that is, reject all requests and report it
+- ``cold``: number of requests that are served at a third of the speed
+- ``shed``: reject all requests
+- ``fault``: ``cut`` (truncate responses), ``wrong-id`` (respond with the identity of
+  another request), ``no-echo`` (respond without identity) or ``hang`` (never respond)
+- ``report``: a false load report
 """
 
 import argparse
@@ -29,33 +34,33 @@
 
 SOCKET_KEY = "standin.socket"
 BLOCK_BYTES = 64 * 1024
-COLD_FACTOR = 3.0
-NOT_RUN = [("X-Not-Run", "1")]
+COLD_SLOWDOWN = 3.0
+NOT_RUN_HEADERS = [("X-Not-Run", "1")]
 
 
-class Together:
-    """Requests that run at once at several endpoints.
+class ConcurrencyCounter:
+    """Counts the requests that run concurrently at several endpoints.
 
     Attributes
     ----------
-    now, most : int
-        Requests that run now, and the most so far.
+    current, peak : int
+        Requests that run now, and the maximum so far.
     """
 
     def __init__(self):
-        self.now = 0
-        self.most = 0
+        self.current = 0
+        self.peak = 0
 
     def add(self, change):
-        """Count a request that begins or ends.
+        """Count a request that starts or ends.
 
         Parameters
         ----------
         change : int
-            1 or -1.
+            1 at its start, -1 at its end.
         """
-        self.now += change
-        self.most = max(self.most, self.now)
+        self.current += change
+        self.peak = max(self.peak, self.current)
 
 
 class Endpoint:
@@ -66,21 +71,21 @@
     name : str
         Name of the endpoint.
     address : str
-        IP number to listen on.
+        IP address to listen on.
     port : int
-        TCP port to listen on; 0 takes a free one.
+        TCP port to listen on; 0 chooses a free one.
     slots : int, default=3
-        Requests served at once.
+        Maximum number of concurrent requests.
     service_s : float, default=0.02
-        Mean duration of a request.
+        Mean service time of a request, in seconds.
     seed : int, default=0
-        Seed of the durations.
-    together : Together, default=None
-        Counts what runs here and at other endpoints.
+        Seed of the service times.
+    concurrency : ConcurrencyCounter, default=None
+        Counter shared with other endpoints; None counts this endpoint alone.
     """
 
     def __init__(
-        self, name, address, port, slots=3, service_s=0.02, seed=0, together=None
+        self, name, address, port, slots=3, service_s=0.02, seed=0, concurrency=None
     ):
         self.name = name
         self.slots = slots
@@ -93,7 +98,7 @@
             "fault": "",
             "report": None,
         }
-        self.together = together or Together()
+        self.concurrency = concurrency or ConcurrencyCounter()
         self.busy = 0
         self.counts = {"served": 0, "shed": 0, "over_limit": 0, "most_busy": 0}
         self.runs = {}
@@ -105,11 +110,11 @@
         )
 
     def start(self):
-        """Begin service."""
+        """Start serving."""
         self.server.start()
 
     def close(self):
-        """End service at once."""
+        """Stop serving, without waiting for requests in progress."""
         self.server.stop(timeout=0)
 
     def _application(self, environ, start_response):
@@ -117,16 +122,16 @@
         if path == "/control":
             if environ["REQUEST_METHOD"] == "POST":
                 self.behaviour.update(read_json(environ))
-            return json_response(start_response, 200, self._report())
+            return json_response(start_response, 200, self._load_report())
         if path == "/load":
-            report = self.behaviour["report"] or self._report()
+            report = self.behaviour["report"] or self._load_report()
             return json_response(start_response, 200, report)
         return self._serve(environ, start_response)
 
-    def _report(self):
+    def _load_report(self):
         return {
             "outstanding": self.busy,
-            "most_together": self.together.most,
+            "most_together": self.concurrency.peak,
             "slots": self.slots,
             "leaving": self.behaviour["leaving"],
             "counts": self.counts,
@@ -135,29 +140,33 @@
         }
 
     def _serve(self, environ, start_response):
-        echo = [("X-Request-Id", environ.get("HTTP_X_REQUEST_ID", ""))]
+        echo_headers = [("X-Request-Id", environ.get("HTTP_X_REQUEST_ID", ""))]
         if self.behaviour["shed"] or self.behaviour["leaving"]:
             self.counts["shed"] += 1
-            return json_response(start_response, 503, {}, echo + NOT_RUN)
+            return json_response(
+                start_response, 503, {}, echo_headers + NOT_RUN_HEADERS
+            )
         if self.busy >= self.slots:
             self.counts["over_limit"] += 1
-            return json_response(start_response, 503, {}, echo + NOT_RUN)
+            return json_response(
+                start_response, 503, {}, echo_headers + NOT_RUN_HEADERS
+            )
         self.busy += 1
-        self.together.add(1)
+        self.concurrency.add(1)
         self.counts["most_busy"] = max(self.counts["most_busy"], self.busy)
         try:
             size = self._read_body(environ)
-            self._work(environ)
+            self._run_request(environ)
             self.counts["served"] += 1
             body = {"endpoint": self.name, "bytes": size}
             body["path"] = environ["PATH_INFO"]
-            return self._answer(environ, start_response, body, echo)
+            return self._respond(environ, start_response, body, echo_headers)
         except (gevent.Timeout, _Cancelled):
             self.cancelled += 1
-            return json_response(start_response, 504, {}, echo)
+            return json_response(start_response, 504, {}, echo_headers)
         finally:
             self.busy -= 1
-            self.together.add(-1)
+            self.concurrency.add(-1)
 
     def _read_body(self, environ):
         size = 0
@@ -168,7 +177,7 @@
             raise _Cancelled from exc
         return size
 
-    def _work(self, environ):
+    def _run_request(self, environ):
         key = environ.get("HTTP_IDEMPOTENCY_KEY")
         if key:
             self.runs[key] = self.runs.get(key, 0) + 1
@@ -177,46 +186,46 @@
         duration_s *= self.behaviour["slow"]
         if self.behaviour["cold"]:
             self.behaviour["cold"] -= 1
-            duration_s *= COLD_FACTOR
+            duration_s *= COLD_SLOWDOWN
         deadline_ms = environ.get("HTTP_X_DEADLINE_MS", "60000")
         with gevent.Timeout(max(0.001, int(deadline_ms) / 1000)):
             _sleep_unless_closed(environ[SOCKET_KEY], duration_s)
 
-    def _answer(self, environ, start_response, body, echo):
+    def _respond(self, environ, start_response, body, echo_headers):
         fault = self.behaviour["fault"]
         if fault == "hang":
             gevent.sleep(3600)
         if fault == "wrong-id":
-            echo = [("X-Request-Id", "of-another-request")]
+            echo_headers = [("X-Request-Id", "of-another-request")]
         if fault == "no-echo":
-            echo = []
+            echo_headers = []
         if environ["PATH_INFO"].startswith("/large"):
-            return self._large_answer(environ, start_response, echo, fault)
+            return self._respond_large(environ, start_response, echo_headers, fault)
         if fault == "cut":
             raw = json.dumps(body).encode()
-            headers = [("Content-Length", str(len(raw) + 10)), *echo]
+            headers = [("Content-Length", str(len(raw) + 10)), *echo_headers]
             start_response("200 OK", headers)
-            return _Cut([raw])
-        return json_response(start_response, 200, body, echo)
+            return _TruncatedBody([raw])
+        return json_response(start_response, 200, body, echo_headers)
 
-    def _large_answer(self, environ, start_response, echo, fault):
+    def _respond_large(self, environ, start_response, echo_headers, fault):
         blocks = int(environ["PATH_INFO"].rsplit("/", 1)[1])
         body = [bytes([65 + n % 26]) * BLOCK_BYTES for n in range(blocks)]
-        headers = list(echo)
+        headers = list(echo_headers)
         if not environ["PATH_INFO"].startswith("/large-chunked"):
             headers.append(("Content-Length", str(blocks * BLOCK_BYTES)))
         start_response("200 OK", headers)
         if fault == "cut":
-            return _Cut(body[: blocks // 2])
+            return _TruncatedBody(body[: blocks // 2])
         return iter(body)
 
 
 class _Cancelled(Exception):
-    """The caller closed the connection while its request was served."""
+    """The client closed the connection while its request was in progress."""
 
 
 class _SocketHandler(QuietHandler):
-    """Handler that lets the application see its connection."""
+    """Request handler that passes the connection to the application."""
 
     def get_environ(self):
         return super().get_environ() | {SOCKET_KEY: self.socket}
@@ -231,8 +240,8 @@
         raise _Cancelled
 
 
-class _Cut:
-    """Body after which the connection closes."""
+class _TruncatedBody:
+    """Response body that resets the connection after its last block."""
 
     def __init__(self, blocks):
         self._blocks = iter(blocks)
@@ -243,7 +252,7 @@
     def __next__(self):
         for block in self._blocks:
             return block
-        raise ConnectionResetError(104, "cut")
+        raise ConnectionResetError(104, "response truncated on purpose")
 
 
 def create_endpoint_standin(name, address="127.0.0.1", port=0, **options):
@@ -254,9 +263,9 @@
     name : str
         Name of the endpoint.
     address : str, default="127.0.0.1"
-        IP number to listen on.
+        IP address to listen on.
     port : int, default=0
-        TCP port to listen on; 0 takes a free one.
+        TCP port to listen on; 0 chooses a free one.
     **options
         Further parameters of `Endpoint`.
 
@@ -270,13 +279,13 @@
 def main():
     """Run all endpoints of a settings tree until terminated."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--tree", required=True, help="settings tree")
+    parser.add_argument("--tree", required=True, help="file with the settings tree")
     parser.add_argument("--service-ms", type=float, default=20.0)
     parser.add_argument("--seed", type=int, default=0)
     args = parser.parse_args()
     with open(args.tree, encoding="utf-8") as file:
         tree = json.load(file)
-    together = defaultdict(Together)
+    counters = defaultdict(ConcurrencyCounter)
     endpoints = [
         create_endpoint_standin(
             name,
@@ -285,7 +294,7 @@
             slots=spec["slots"],
             service_s=args.service_ms / 1000,
             seed=args.seed,
-            together=together[service_name, spec["region"]],
+            concurrency=counters[service_name, spec["region"]],
         )
         for subtree in tree.values()
         for service_name, service in subtree.get("services", {}).items()
--- a/standins/metadata_store.py
+++ b/standins/metadata_store.py
@@ -1,9 +1,14 @@
-"""Stand-in for the platform's metadata store: rows, transactions and a feed.
+"""Fake of the platform's metadata store: rows, transactions and a change feed.
 
-Faults are set with ``POST /faults``: ``down`` (every call gets 503), ``refuse`` (IP
-numbers that get 503), ``slow_s`` (seconds added to each call), ``lose_replies`` (number
-of coming writes that are done and not answered), ``late_s`` (such a write is done that
-much later, if its condition still holds) and ``forget`` (drop the history once).
+``POST /faults`` sets faults:
+
+- ``down``: every call gets 503
+- ``refuse``: IP addresses whose calls get 503
+- ``slow_s``: seconds added to each call
+- ``lose_replies``: number of coming writes that are applied but get no reply
+- ``late_s``: seconds by which such a write is delayed; it is applied only if its
+  preconditions still hold then
+- ``forget``: drop the history of changes once
 """
 
 import argparse
@@ -34,20 +39,20 @@
     "late_s": 0.0,
     "forget": False,
 }
-HANG_S = 30.0  # a lost reply leaves the caller waiting
-PAGE_ROWS = 500
-MOST_WAIT_S = 30.0
+LOST_REPLY_HANG_S = 30.0  # how long a client waits whose reply is lost
+MAX_PAGE_ROWS = 500
+MAX_LONG_POLL_S = 30.0
 
 
 class MetadataStore:
-    """State of the store.
+    """A store that keeps its rows in memory.
 
     Parameters
     ----------
     address : str
-        IP number to listen on.
+        IP address to listen on.
     port : int
-        TCP port to listen on; 0 takes a free one.
+        TCP port to listen on; 0 chooses a free one.
     """
 
     def __init__(self, address, port):
@@ -56,44 +61,44 @@
         self.faults = dict(NO_FAULTS)
         self.calls = 0
         self._history = []
-        self._forgotten = 0
-        self._changed = gevent.event.Event()
+        self._dropped_up_to = 0
+        self._committed = gevent.event.Event()
         self.server = create_server(address, port, self._application)
 
     def start(self):
-        """Begin service."""
+        """Start serving."""
         self.server.start()
 
     def close(self):
-        """End service at once."""
+        """Stop serving, without waiting for calls in progress."""
         self.server.stop(timeout=0)
 
     def put(self, table, key, value):
-        """Write a row, as the operator or an endpoint would; None removes it.
+        """Write or remove a row, as the operator or an endpoint would.
 
         Parameters
         ----------
         table, key : str
-            Place of the row.
+            Table and key of the row.
         value : bytes or None
-            Content.
+            Content; None removes the row.
         """
         self._commit([(table, "", key, value)])
 
     def set_faults(self, **faults):
-        """Set faults; those not named stay as they are.
+        """Set faults; those not given stay as they are.
 
         Parameters
         ----------
         **faults
-            As the module says.
+            Faults by name; see the module's docstring.
         """
         self.faults.update(faults)
         if faults.get("forget"):
-            self._forgotten = self.version
+            self._dropped_up_to = self.version
             self._history.clear()
             self.faults["forget"] = False
-        self._wake()
+        self._wake_feeds()
 
     def _application(self, environ, start_response):
         path = environ["PATH_INFO"]
@@ -105,7 +110,7 @@
         self.calls += 1
         if self.faults["slow_s"]:
             gevent.sleep(self.faults["slow_s"])
-        if self._refuses(environ):
+        if self._rejects(environ):
             return json_response(start_response, 503, {})
         query = {key: v[0] for key, v in parse_qs(environ["QUERY_STRING"]).items()}
         try:
@@ -119,7 +124,7 @@
             return json_response(start_response, exc.status, {"error": exc.message})
         return json_response(start_response, 404, {})
 
-    def _refuses(self, environ):
+    def _rejects(self, environ):
         return self.faults["down"] or environ["REMOTE_ADDR"] in self.faults["refuse"]
 
     def _get(self, query):
@@ -130,27 +135,29 @@
             if table == query["table"] and part == query.get("part", "")
             if key >= first and key < query.get("target", "\U0010ffff")
         )
-        limit = min(PAGE_ROWS, int(query.get("limit", PAGE_ROWS)))
+        limit = min(MAX_PAGE_ROWS, int(query.get("limit", MAX_PAGE_ROWS)))
         rows = [_row(query["table"], key, v, ver) for key, v, ver in found[:limit]]
-        return self._body(rows) | {"hasMore": len(found) > limit}
+        return self._reply_body(rows) | {"hasMore": len(found) > limit}
 
     def _feed(self, query, environ, start_response):
         after = int(query["after"])
-        wait_s = min(MOST_WAIT_S, int(query.get("waitMs", 0)) / 1000)
+        wait_s = min(MAX_LONG_POLL_S, int(query.get("waitMs", 0)) / 1000)
         with gevent.Timeout(wait_s, False):
-            while after >= self._forgotten and not self._since(query["table"], after):
-                if self._refuses(environ):
+            while after >= self._dropped_up_to and not self._changes_since(
+                query["table"], after
+            ):
+                if self._rejects(environ):
                     return json_response(start_response, 503, {})
-                self._changed.wait()
-        if after < self._forgotten:
+                self._committed.wait()
+        if after < self._dropped_up_to:
             return json_response(start_response, 410, {})
-        rows = self._since(query["table"], after)
-        return json_response(start_response, 200, self._body(rows))
+        rows = self._changes_since(query["table"], after)
+        return json_response(start_response, 200, self._reply_body(rows))
 
-    def _since(self, table, after):
+    def _changes_since(self, table, after):
         newest = {}
-        for version, changed, key, value in self._history:
-            if version > after and changed == table:
+        for version, changed_table, key, value in self._history:
+            if version > after and changed_table == table:
                 newest.pop(key, None)
                 newest[key] = _row(table, key, value, version)
         return list(newest.values())
@@ -161,32 +168,34 @@
             for put in body.get("puts", ())
         ]
         changes += [
-            (place["table"], place["part"], place["key"], None)
-            for place in body.get("deletes", ())
+            (row["table"], row["part"], row["key"], None)
+            for row in body.get("deletes", ())
         ]
         if self.faults["lose_replies"] > 0:
             self.faults["lose_replies"] -= 1
             gevent.sleep(self.faults["late_s"])
-            if self._holds(body):
+            if self._preconditions_hold(body):
                 self._commit(changes)
-            gevent.sleep(HANG_S)
-        if not self._holds(body):
-            return json_response(start_response, 412, self._body(self._checked(body)))
+            gevent.sleep(LOST_REPLY_HANG_S)
+        if not self._preconditions_hold(body):
+            return json_response(
+                start_response, 412, self._reply_body(self._expected_rows(body))
+            )
         self._commit(changes)
-        return json_response(start_response, 200, self._body([]))
+        return json_response(start_response, 200, self._reply_body([]))
 
-    def _holds(self, body):
+    def _preconditions_hold(self, body):
         return all(
             self.rows.get((row["table"], row["part"], row["key"]), (None, 0))[1]
             == row["ver"]
             for row in body.get("expectedRev", ())
         )
 
-    def _checked(self, body):
-        places = [(row["table"], row["key"]) for row in body.get("expectedRev", ())]
+    def _expected_rows(self, body):
+        row_keys = [(row["table"], row["key"]) for row in body.get("expectedRev", ())]
         return [
             _row(table, key, *self.rows.get((table, "", key), (None, 0)))
-            for table, key in places
+            for table, key in row_keys
         ]
 
     def _commit(self, changes):
@@ -197,13 +206,13 @@
             else:
                 self.rows[table, part, key] = (value, self.version)
             self._history.append((self.version, table, key, value))
-        self._wake()
+        self._wake_feeds()
 
-    def _wake(self):
-        changed, self._changed = self._changed, gevent.event.Event()
-        changed.set()
+    def _wake_feeds(self):
+        committed, self._committed = self._committed, gevent.event.Event()
+        committed.set()
 
-    def _body(self, rows):
+    def _reply_body(self, rows):
         return {"rows": rows, "ver": self.version, "now": "0ms"}
 
 
@@ -220,9 +229,9 @@
     Parameters
     ----------
     address : str, default="127.0.0.1"
-        IP number to listen on.
+        IP address to listen on.
     port : int, default=0
-        TCP port to listen on; 0 takes a free one.
+        TCP port to listen on; 0 chooses a free one.
 
     Returns
     -------
@@ -232,14 +241,14 @@
 
 
 def load_tree(store, tree):
-    """Write a settings tree as version 1.
+    """Write a settings tree into a store as version 1.
 
     Parameters
     ----------
     store : MetadataStore
         The store.
     tree : dict
-        Team to subtree.
+        Subtrees by team.
     """
     head = {"version": 1, "teams": dict.fromkeys(tree, 1), "token": ""}
     for team, subtree in tree.items():
@@ -252,7 +261,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--address", default="127.0.0.1")
     parser.add_argument("--port", type=int, required=True)
-    parser.add_argument("--tree", help="settings tree to begin with")
+    parser.add_argument("--tree", help="file with the initial settings tree")
     args = parser.parse_args()
     store = create_metadata_store(args.address, args.port)
     if args.tree:
