--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Fault soak: the real programs as separate processes, with faults from outside."""
+"""Soak test: instances as separate processes, with faults injected from outside."""
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,49 +1,50 @@
-"""What callers and endpoints see, held against the promises."""
+"""Checks the observations of callers and endpoints against the product's promises."""
 
 from collections import Counter
 from typing import NamedTuple
 
 __all__ = [
-    "COLD_PER_S",
+    "MAX_COLD_PER_S",
     "DEADLINE_S",
-    "DRAIN_S",
+    "MAX_DRAIN_DELAY_S",
     "Attempt",
     "Breach",
-    "Calm",
+    "Timeline",
     "find_breaches",
 ]
 
-NOT_RUN = (408, 421, 429, 503)
-IN_FORCE_S = 2.5  # the operators' bound, while the store answers
-DRAIN_S = 2.5
-STABLE_S = 4.0  # after trouble, until the bounds hold again
-LOSS_SLACK_S = 0.2
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+MAX_CONFIG_DELAY_S = 2.5  # the operators' bound, while the store responds
+MAX_DRAIN_DELAY_S = 2.5
+RECOVERY_S = 4.0  # after a disruption, until the bounds hold again
+IDLE_CLOSE_RACE_S = 0.2  # a request lost sooner met the close of an idle connection
 DEADLINE_S = 2.0  # of each request
-LATE_S = 1.5  # beyond it, on a busy machine
-LIMIT_SPAN_S = 4.0
-LIMIT_PART, LIMIT_MORE = 1.5, 5  # of what a named limit allows in the span
-COLD_PER_S = 4.0 * 1.5 + 5.0  # of a cold endpoint, from all instances
+DEADLINE_SLACK_S = 1.5  # allowed beyond the deadline on a busy machine
+LIMIT_WINDOW_S = 4.0
+# Allowed in a window: the factor times what the limit allows, plus the burst.
+LIMIT_FACTOR, LIMIT_BURST = 1.5, 5
+MAX_COLD_PER_S = 4.0 * 1.5 + 5.0  # to a cold endpoint, from all instances together
 
 
 class Attempt(NamedTuple):
-    """A request of a caller and what came of it.
+    """A caller's request and its result.
 
     Attributes
     ----------
     request_id, kind : str
-        Identity, and "look", "book" or the name of a version's route.
+        Identity, and "look", "book" or the route of a configuration, such as "v3".
     instance : int
-        Instance that it was sent to.
+        Index of the instance that the request was sent to.
     starts : int
-        Starts of that instance's process when it was sent.
+        Number of process starts of that instance when the request was sent.
     sent, ended : float
         Monotonic seconds.
     status : int
-        HTTP status; 0 if the connection ended without an answer.
+        HTTP status; 0 if the connection ended without a response.
     request_echo, body : str
-        What the answer says of itself.
+        Request identity in the response's header, and its body.
     planned : bool
-        Whether the instance was being stopped as planned, with no other trouble.
+        Whether the instance was in a planned stop, undisturbed by other faults.
     """
 
     request_id: str
@@ -59,13 +60,13 @@
 
 
 class Breach(NamedTuple):
-    """A promise that was not kept."""
+    """A broken promise."""
 
     promise: str
     detail: str
 
 
-def find_breaches(attempts, endpoints, calm):
+def find_breaches(attempts, endpoints, timeline):
     """Return the breaches of all promises.
 
     Parameters
@@ -73,9 +74,9 @@
     attempts : sequence of Attempt
         All requests of callers.
     endpoints : sequence of PlatformEndpoint
-        All endpoints that ever were.
-    calm : Calm
-        Moments from which a change has to be in force.
+        All endpoints of the run, including drained ones.
+    timeline : Timeline
+        Configuration changes and disruptions of the run.
 
     Returns
     -------
@@ -84,154 +85,167 @@
     runs = Counter()
     for endpoint in endpoints:
         runs.update(endpoint.runs)
-    left = {e.name: e.left_at for e in endpoints if e.left_at is not None}
+    draining_since = {
+        e.name: e.draining_since for e in endpoints if e.draining_since is not None
+    }
     return [
-        *_at_most_once(attempts, runs),
-        *_not_run_is_true(attempts, runs),
-        *_own_whole_answers(attempts),
-        *_planned_stop(attempts, runs),
-        *_never_back(attempts),
-        *_in_force(attempts, calm),
-        *_drained(attempts, left, calm),
-        *_in_time(attempts, calm),
-        *_within_limits(attempts, endpoints, calm),
+        *_check_at_most_once(attempts, runs),
+        *_check_not_run(attempts, runs),
+        *_check_responses(attempts),
+        *_check_planned_stops(attempts, runs),
+        *_check_no_revert(attempts),
+        *_check_active_version(attempts, timeline),
+        *_check_drains(attempts, draining_since, timeline),
+        *_check_deadlines(attempts, timeline),
+        *_check_advertised_limits(attempts, endpoints, timeline),
     ]
 
 
-class Calm(NamedTuple):
-    """When changes had to be in force.
+class Timeline(NamedTuple):
+    """Configuration changes and disruptions of a run.
 
     Attributes
     ----------
     versions : list of (float, int)
-        From that moment on, every instance in touch obeys at least that version.
-    troubled : list of (float, float, int)
-        Spans in which an instance was not in touch; -1 for all instances.
+        Monotonic seconds at which each version was written to the store, and the
+        version.
+    disruptions : list of (float, float, int)
+        Begin and end, in monotonic seconds, of each span in which an instance was
+        disrupted, for example paused or cut off from the store, and the instance's
+        index; -1 for all instances.
     """
 
     versions: list
-    troubled: list
+    disruptions: list
 
 
-def _at_most_once(attempts, runs):
+def _check_at_most_once(attempts, runs):
     for attempt in attempts:
         if attempt.kind == "book" and runs[attempt.request_id] > 1:
             yield Breach("at most once", f"{attempt.request_id} ran twice")
 
 
-def _not_run_is_true(attempts, runs):
+def _check_not_run(attempts, runs):
     for attempt in attempts:
-        said = attempt.kind == "book" and attempt.status in NOT_RUN
-        if said and runs[attempt.request_id]:
+        claims_not_run = attempt.kind == "book" and attempt.status in NOT_RUN_STATUSES
+        if claims_not_run and runs[attempt.request_id]:
             yield Breach("not run", f"{attempt} had run")
 
 
-def _own_whole_answers(attempts):
+def _check_responses(attempts):
     for attempt in attempts:
         if attempt.status != 200:
             continue
         words = attempt.body.split()
         own = attempt.request_echo == attempt.request_id
         if not own or len(words) != 3 or words[1] != attempt.request_id:
-            yield Breach("own whole answer", f"{attempt}")
+            yield Breach("own complete response", f"{attempt}")
 
 
-def _planned_stop(attempts, runs):
+def _check_planned_stops(attempts, runs):
     for attempt in attempts:
-        # A request that crosses the close of an idle connection was not read.
-        read = runs[attempt.request_id] or attempt.ended - attempt.sent > LOSS_SLACK_S
-        # The HTTP server answers 500 for a task that was ended under way.
+        # A request that was sent while the instance closed the idle connection was
+        # never read.
+        was_read = (
+            runs[attempt.request_id] or attempt.ended - attempt.sent > IDLE_CLOSE_RACE_S
+        )
+        # The HTTP server responds with 500 when a request's task is killed.
         cut = attempt.status in (0, 500) or "the instance stopped" in attempt.body
-        if attempt.planned and read and cut:
-            yield Breach("planned stop", f"{attempt} was cut")
+        if attempt.planned and was_read and cut:
+            yield Breach("planned stop", f"{attempt} was cut off")
 
 
-def _never_back(attempts):
+def _check_no_revert(attempts):
     newest = {}
     for attempt in sorted(attempts, key=lambda a: a.sent):
         if not attempt.kind.startswith("v"):
             continue
         process = (attempt.instance, attempt.starts)
         version = int(attempt.kind[1:])
-        known, seen = newest.get(process, (0, 0.0))
+        known, last_seen = newest.get(process, (0, 0.0))
         if attempt.status == 200:
-            if version < known and attempt.sent > seen + 0.25:
-                yield Breach("never back", f"{attempt} after version {known}")
+            if version < known and attempt.sent > last_seen + 0.25:
+                yield Breach("never reverts", f"{attempt} after version {known}")
             if version > known:
                 newest[process] = (version, attempt.ended)
 
 
-def _in_force(attempts, calm):
+def _check_active_version(attempts, timeline):
     for attempt in attempts:
         if not attempt.kind.startswith("v") or attempt.status not in (200, 404):
             continue
         version = int(attempt.kind[1:])
-        due = [v for at, v in calm.versions if attempt.sent > at + IN_FORCE_S]
-        if not due or _was_troubled(attempt, calm):
+        due = [
+            v for at, v in timeline.versions if attempt.sent > at + MAX_CONFIG_DELAY_S
+        ]
+        if not due or _was_disrupted(attempt, timeline):
             continue
         if attempt.status == 200 and version < max(due):
-            yield Breach("in force", f"{attempt} though {max(due)} is in force")
-        # Each version drops the routes of those before it.
-        newer = any(v > version and at <= attempt.ended for at, v in calm.versions)
+            yield Breach("active configuration", f"{attempt}, but {max(due)} was due")
+        # Each version replaces the routes of the versions before it.
+        newer = any(v > version and at <= attempt.ended for at, v in timeline.versions)
         if attempt.status == 404 and version in due and not newer:
-            yield Breach("in force", f"{attempt} though it is in force")
+            yield Breach("active configuration", f"{attempt}, but this version was due")
 
 
-def _drained(attempts, left, calm):
+def _check_drains(attempts, draining_since, timeline):
     for attempt in attempts:
         name = attempt.body.partition(" ")[0]
-        if attempt.status != 200 or name not in left:
+        if attempt.status != 200 or name not in draining_since:
             continue
-        late = attempt.sent > left[name] + DRAIN_S
-        if late and not _was_troubled(attempt, calm, left[name]):
-            yield Breach("drain", f"{attempt} at {name}, which left before")
+        late = attempt.sent > draining_since[name] + MAX_DRAIN_DELAY_S
+        if late and not _was_disrupted(attempt, timeline, draining_since[name]):
+            yield Breach("drain", f"{attempt} at {name}, which was draining")
 
 
-def _in_time(attempts, calm):
+def _check_deadlines(attempts, timeline):
     for attempt in attempts:
-        if attempt.ended - attempt.sent <= DEADLINE_S + LATE_S:
+        if attempt.ended - attempt.sent <= DEADLINE_S + DEADLINE_SLACK_S:
             continue
         excused = any(
             begin <= attempt.ended
-            and attempt.sent <= end + STABLE_S
+            and attempt.sent <= end + RECOVERY_S
             and number == attempt.instance
-            for begin, end, number in calm.troubled
+            for begin, end, number in timeline.disruptions
         )
         if not excused:
-            yield Breach("in time", f"{attempt} was held past its deadline")
+            yield Breach("deadline", f"{attempt} ended too long after its deadline")
 
 
-def _within_limits(attempts, endpoints, calm):
+def _check_advertised_limits(attempts, endpoints, timeline):
     sent = {attempt.request_id: attempt for attempt in attempts}
     for endpoint in endpoints:
-        for begin, end, per_s in endpoint.limits:
+        for begin, end, per_s in endpoint.advertised_limits:
             times = [
                 at
-                for at, (name, _) in zip(
+                for at, (request_id, _) in zip(
                     endpoint.arrival_times, endpoint.arrivals, strict=True
                 )
-                if begin + STABLE_S <= at <= end
-                and name in sent
-                and not _was_troubled(sent[name], calm)
+                if begin + RECOVERY_S <= at <= end
+                and request_id in sent
+                and not _was_disrupted(sent[request_id], timeline)
             ]
-            most = LIMIT_PART * LIMIT_SPAN_S * per_s + LIMIT_MORE
-            got = max(
-                (sum(a <= t < a + LIMIT_SPAN_S for t in times) for a in times),
+            allowed = LIMIT_FACTOR * LIMIT_WINDOW_S * per_s + LIMIT_BURST
+            peak = max(
+                (sum(a <= t < a + LIMIT_WINDOW_S for t in times) for a in times),
                 default=0,
             )
-            if got > most:
-                yield Breach("limit", f"{endpoint.name}: {got} of {most} in 4 s")
+            if peak > allowed:
+                yield Breach(
+                    "advertised limit", f"{endpoint.name}: {peak} of {allowed} in 4 s"
+                )
 
 
-def _was_troubled(attempt, calm, since=None):
-    """Return whether an instance was not in touch when a request was sent.
+def _was_disrupted(attempt, timeline, since=None):
+    """Return whether a request's instance was disrupted when the request was sent.
 
-    With ``since``, whether it was not at any moment from then on.
+    With ``since``, return whether it was disrupted at any time between ``since`` and
+    then. A disruption counts for `RECOVERY_S` after its end.
     """
     since = attempt.sent if since is None else since
     return any(
         begin <= attempt.sent
-        and since <= end + STABLE_S
+        and since <= end + RECOVERY_S
         and number in (-1, attempt.instance)
-        for begin, end, number in calm.troubled
+        for begin, end, number in timeline.disruptions
     )
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Instances as processes of their own, and the world around them in this process."""
+"""Instances as separate processes; the store and the endpoints in this process."""
 
 import os
 import signal
@@ -26,13 +26,14 @@
 from standins.metadata_store import create_metadata_store
 from standins.platform_endpoint import create_platform_endpoint
 
-__all__ = ["GRACE_S", "MEMORY_MB", "Instance", "World"]
+__all__ = ["GRACE_PERIOD_S", "MEMORY_LIMIT_MB", "Instance", "SoakSite"]
 
 DOMAINS = ("north-a", "north-b", "south-a")
-START_S = 15.0
-GRACE_S = 3.0
-MEMORY_MB = 120.0  # few connections beside what a process takes without any
-OLDER_S = 0.6
+START_TIMEOUT_S = 15.0
+GRACE_PERIOD_S = 3.0
+# Little more than an idle process takes, so that it allows only few connections.
+MEMORY_LIMIT_MB = 120.0
+OLDER_CONFIG_S = 0.6  # how long an older configuration stays in the store
 
 
 class Instance:
@@ -41,69 +42,78 @@
     Parameters
     ----------
     number : int
-        Place in the fleet.
-    world : World
-        What is around it.
+        Index in the fleet.
+    site : SoakSite
+        The store and the ports that the instance uses.
+
+    Attributes
+    ----------
+    stopping : bool
+        Whether a planned stop is under way.
+    starts : int
+        Number of process starts so far.
+    exit_requested, killed : bool
+        Whether the present process was sent SIGTERM or SIGKILL; whether SIGKILL.
     """
 
-    def __init__(self, number, world):
+    def __init__(self, number, site):
         self.address = own_address(number)
         self.domain = DOMAINS[number % 3]
-        self.store = create_proxy(world.store.server.address)
-        self.store.start()
-        seeds = [f"{own_address(n)}:{world.ports[2]}" for n in range(3)]
+        self.store_proxy = create_proxy(site.store.server.address)
+        self.store_proxy.start()
+        seeds = [f"{own_address(n)}:{site.ports[2]}" for n in range(3)]
         body = settings_body(
             self.address,
-            self.store.address,
-            world.ports,
+            self.store_proxy.address,
+            site.ports,
             f"front-{number}",
             self.domain,
             seeds,
         )
-        body["bounds"]["grace"] = f"{GRACE_S}s"
-        body["memory_mb"] = MEMORY_MB
-        self.file = write_settings(body)
+        body["bounds"]["grace"] = f"{GRACE_PERIOD_S}s"
+        body["memory_mb"] = MEMORY_LIMIT_MB
+        self.settings = write_settings(body)
         self.process = None
         self.paused = False
         self.stopping = False
         self.starts = 0
-        self.term_at = 0.0
-        self.told_to_end = self.killed = False
-        self._own_ends = 0
-        self._unread, self._error = os.pipe()  # nobody reads their standard error
+        self.sigterm_at = 0.0
+        self.exit_requested = self.killed = False
+        self._earlier_exits = 0
+        self._unread_end, self._stderr = os.pipe()  # nobody reads the process's stderr
         self.log = tempfile.NamedTemporaryFile(  # noqa: SIM115
             "ab", suffix=f"-front-{number}.log", delete=False
         )
 
     def start(self):
         """Start the process."""
-        self._own_ends = self.own_ends()
-        self.told_to_end = self.killed = False
+        self._earlier_exits = self.unexpected_exits()
+        self.exit_requested = self.killed = False
         self.starts += 1
         self.paused = self.stopping = False
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "quetzalwall", "front", "--settings", self.file],
+            [sys.executable, "-m", "quetzalwall", "front", "--settings", self.settings],
             stdout=self.log,
-            stderr=self._error,
+            stderr=self._stderr,
         )
 
-    def own_ends(self):
-        """Return how often the process has ended without being told to.
+    def unexpected_exits(self):
+        """Return how often the process has exited without SIGTERM or SIGKILL from here.
 
         Returns
         -------
         int
         """
         ended = self.process is not None and self.process.poll() is not None
-        return self._own_ends + (ended and not self.told_to_end)
+        return self._earlier_exits + (ended and not self.exit_requested)
 
     def resident_mb(self):
-        """Return the memory that the process takes.
+        """Return the resident memory of the process.
 
         Returns
         -------
         float
-            Megabytes; 0 if it does not run.
+            Megabytes; 0 if the process does not run or is paused.
         """
         return resident_bytes(self.process.pid) / 1e6 if self.running() else 0.0
 
@@ -117,7 +127,7 @@
         alive = self.process is not None and self.process.poll() is None
         return alive and not self.paused
 
-    def undisturbed(self):
+    def serving(self):
         """Return whether the process runs and is not being stopped.
 
         Returns
@@ -137,71 +147,71 @@
         if self.process.poll() is None:
             self.killed |= number == signal.SIGKILL
             if number == signal.SIGTERM:
-                self.term_at = time.monotonic()
-            self.told_to_end |= number in (signal.SIGKILL, signal.SIGTERM)
+                self.sigterm_at = time.monotonic()
+            self.exit_requested |= number in (signal.SIGKILL, signal.SIGTERM)
             self.process.send_signal(number)
             self.paused = number == signal.SIGSTOP or (
                 self.paused and number != signal.SIGCONT
             )
 
     def close(self):
-        """Kill the process and wait for its end."""
+        """Kill the process and wait for its exit."""
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
         while self.process is not None and self.process.poll() is None:
             gevent.sleep(0.02)
-        self.store.close()
+        self.store_proxy.close()
         self.log.close()
-        os.close(self._unread)
-        os.close(self._error)
-        os.unlink(self.file)
+        os.close(self._unread_end)
+        os.close(self._stderr)
+        os.unlink(self.settings)
 
 
-class World:
-    """A store, endpoints and a fleet.
+class SoakSite:
+    """A store, endpoints and a fleet of instances.
 
     Parameters
     ----------
-    fleet : int
-        Instances.
-    endpoints : int
-        Endpoints of the service at the start.
+    instance_count : int
+        Number of instances.
+    endpoint_count : int
+        Number of endpoints at the start.
     """
 
-    def __init__(self, fleet, endpoints):
+    def __init__(self, instance_count, endpoint_count):
         self.stack = ExitStack()
         self.ports = free_ports(6)
         self.store = create_metadata_store()
         self.version = 0
         self.endpoints = {}
-        self.left = {}
+        self.drained = {}
         self.instances = []
-        self._fleet = fleet
-        self._first = endpoints
-        self._added = 0
+        self._instance_count = instance_count
+        self._initial_endpoints = endpoint_count
+        self._endpoints_added = 0
 
     def start(self):
         """Start everything and wait until the fleet is ready."""
         self.store.start()
         self.stack.callback(self.store.close)
         self.configure()
-        for _ in range(self._first):
+        for _ in range(self._initial_endpoints):
             self.add_endpoint()
-        for number in range(self._fleet):
+        for number in range(self._instance_count):
             instance = Instance(number, self)
             self.stack.callback(instance.close)
             self.instances.append(instance)
             instance.start()
-        with gevent.Timeout(START_S):
+        with gevent.Timeout(START_TIMEOUT_S):
             while not all(self.ready(instance) for instance in self.instances):
                 gevent.sleep(0.1)
 
     def close(self):
-        """End everything that was started."""
+        """Stop everything that was started."""
         self.stack.close()
 
     def ready(self, instance):
-        """Return whether an instance says that it is ready.
+        """Return whether an instance reports that it is ready.
 
         Parameters
         ----------
@@ -218,16 +228,25 @@
             return False
 
     def configure(self):
-        """Accept another configuration; its routes carry its version."""
+        """Write the next configuration, whose routes carry its version.
+
+        Returns
+        -------
+        int
+            The version.
+        """
         self.version += 1
         self._write_configuration(self.version)
         return self.version
 
     def configure_older(self):
-        """Have another writer put an older configuration in place for a moment."""
+        """Put back the previous configuration for `OLDER_CONFIG_S`.
+
+        It stands for another writer that overwrites the newest one.
+        """
         if self.version > 1:
             self._write_configuration(self.version - 1)
-            gevent.sleep(OLDER_S)
+            gevent.sleep(OLDER_CONFIG_S)
             self._write_configuration(self.version)
 
     def _write_configuration(self, version):
@@ -245,21 +264,25 @@
         Parameters
         ----------
         cold : str, default="0ms"
-            For how long it says that it is cold.
+            For how long the endpoint reports that it is cold.
+
+        Returns
+        -------
+        PlatformEndpoint
         """
-        self._added += 1
-        name = f"ep-{self._added}"
+        self._endpoints_added += 1
+        name = f"ep-{self._endpoints_added}"
         endpoint = create_platform_endpoint(name, slots=6, queue=18, work_s=0.03)
         endpoint.start()
         self.stack.callback(endpoint.close)
         self.endpoints[name] = endpoint
-        domain = DOMAINS[self._added % 3]
+        domain = DOMAINS[self._endpoints_added % 3]
         body = entry_body(endpoint.address, domain=domain, coldLeft=cold)
         self.store.put("servers", name, msgspec.json.encode(body))
         return endpoint
 
     def drain(self, name):
-        """Report an endpoint as leaving; it goes on serving.
+        """Report an endpoint as draining; it goes on serving.
 
         Parameters
         ----------
@@ -269,4 +292,4 @@
         endpoint = self.endpoints.pop(name)
         body = entry_body(endpoint.address, state="draining")
         self.store.put("servers", name, msgspec.json.encode(body))
-        self.left[name] = endpoint
+        self.drained[name] = endpoint
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -1,4 +1,4 @@
-"""The faults of a seed, in the order in which the soak plays them."""
+"""The schedule of faults of a seed."""
 
 import random
 
@@ -11,35 +11,36 @@
     "store down",
     "store slow",
     "store loses replies",
-    "store forgets",
-    "store refuses one",
-    "cut from store",
-    "reset store",
-    "endpoint loses answers",
+    "store drops history",
+    "store connections refused",
+    "store partition",
+    "store connections reset",
+    "endpoint loses responses",
     "endpoint sheds",
     "endpoint hangs",
-    "endpoint answers twice",
-    "endpoints answer late",
-    "endpoint cut short",
-    "endpoint without end",
+    "endpoint sends extra responses",
+    "endpoints send late responses",
+    "endpoint truncates responses",
+    "endless response headers",
     "endpoints slow",
     "configure",
     "configure",
     "older configuration",
     "drain",
     "drain",
-    "add cold",
+    "cold endpoint",
     "hup",
-    "heads of many lines",
-    "callers without requests",
+    "requests with many headers",
+    "idle callers",
 )
 
 
-LATER_FAULTS = ("endpoint names a limit", "store connections silent")
-LIMIT_S = 8.0  # until its bound holds, and as long again
+# Each schedule has each of these once.
+SEPARATE_FAULTS = ("endpoint advertises a limit", "store connections stalled")
+SEPARATE_FAULT_S = 8.0  # twice the time after which an advertised limit is checked
 
 
-def make_schedule(seed, seconds, fleet):
+def make_schedule(seed, seconds, instance_count):
     """Return the faults of a seed.
 
     Parameters
@@ -47,25 +48,25 @@
     seed : int
         The seed.
     seconds : float
-        Length of the traffic.
-    fleet : int
-        Instances.
+        Duration of the traffic.
+    instance_count : int
+        Number of instances.
 
     Returns
     -------
     list of (float, str, int, float)
-        Second, kind, instance, and length in seconds.
+        Start in seconds, kind, index of the instance, and duration in seconds.
     """
     rng = random.Random(f"schedule {seed}")
     count = int(seconds * 0.8)
     times = sorted(rng.uniform(1.0, max(1.0, seconds - 4.0)) for _ in range(count))
     faults = [
-        (at, rng.choice(FAULTS), rng.randrange(fleet), rng.uniform(0.5, 3.0))
+        (at, rng.choice(FAULTS), rng.randrange(instance_count), rng.uniform(0.5, 3.0))
         for at in times
     ]
-    # Drawn apart, so that the schedules of earlier seeds stay as they were.
+    # A random source of their own leaves the other faults of known seeds unchanged.
     rng = random.Random(f"later faults {seed}")
-    for kind in LATER_FAULTS:
-        at = rng.uniform(1.0, max(1.0, seconds - LIMIT_S))
-        faults.append((at, kind, rng.randrange(fleet), LIMIT_S))
+    for kind in SEPARATE_FAULTS:
+        at = rng.uniform(1.0, max(1.0, seconds - SEPARATE_FAULT_S))
+        faults.append((at, kind, rng.randrange(instance_count), SEPARATE_FAULT_S))
     return sorted(faults)
