--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Demonstration: a whole deployment as plain processes on one machine."""
+"""Demonstration: a complete deployment as processes on one machine."""
--- a/demo/deployment.py
+++ b/demo/deployment.py
@@ -1,4 +1,4 @@
-"""Starts and ends the processes of a deployment on loopback addresses."""
+"""Starts and stops the processes of a deployment on loopback addresses."""
 
 import json
 import os
@@ -16,32 +16,42 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 START_TIMEOUT_S = 60.0
-END_TIMEOUT_S = 5.0
+EXIT_TIMEOUT_S = 5.0
 
 
 class AddressTaken(Exception):
-    """Another process listens on an address of the deployment."""
+    """Another process listens on an address of this deployment."""
 
 
 class Deployment:
-    """Processes of one deployment.
+    """The store, endpoints and instances of one deployment, as processes.
 
     Parameters
     ----------
     example : str
-        Folder of the settings, for example ``"whetstone"``.
+        Folder of the settings below ``examples``, for example ``"whetstone"``, or an
+        absolute path.
     logs : pathlib.Path
         Folder for the processes' logs.
+
+    Attributes
+    ----------
+    tree : dict
+        Settings tree.
+    instances : dict
+        Settings of the instances, by name.
+    store : str
+        Address and port of the metadata store.
     """
 
     def __init__(self, example, logs):
-        self.folder = ROOT / "examples" / example  # an absolute path stays as it is
+        self.folder = ROOT / "examples" / example  # an absolute path replaces the root
         self.logs = logs
         self.tree = json.loads((self.folder / "tree.json").read_text())
         files = sorted(self.folder.glob("*.json"))
-        documents = [json.loads(f.read_text()) for f in files if f.stem != "tree"]
-        self.instances = {spec["instance"]: spec for spec in documents}
-        self.store = documents[0]["store"]
+        settings = [json.loads(f.read_text()) for f in files if f.stem != "tree"]
+        self.instances = {spec["instance"]: spec for spec in settings}
+        self.store = settings[0]["store"]
         self._processes = {}
 
     def start(self):
@@ -50,20 +60,20 @@
         tree = str(self.folder / "tree.json")
         host, port = self.store.split(":")
         self._require_free(host, int(port))
-        self._run(
+        self._spawn(
             "store",
             *("-m", "standins.metadata_store", "--address", host),
             *("--port", port, "--tree", tree),
         )
-        self._run("endpoints", "-m", "standins.endpoints", "--tree", tree)
-        self._wait(self.store, "/rows-get?table=settings", lambda body: True)
+        self._spawn("endpoints", "-m", "standins.endpoints", "--tree", tree)
+        self._wait_until(self.store, "/rows-get?table=settings", lambda body: True)
         for name in self.instances:
             self.start_instance(name)
         for name in self.instances:
             self.wait_ready(name)
 
     def start_instance(self, name):
-        """Start one entry instance.
+        """Start one instance.
 
         Parameters
         ----------
@@ -71,10 +81,10 @@
             The instance.
         """
         settings = str(self.folder / f"{name}.json")
-        self._run(name, "-m", "quetzalwall", "front", "--settings", settings)
+        self._spawn(name, "-m", "quetzalwall", "front", "--settings", settings)
 
     def wait_ready(self, name):
-        """Wait until an instance has settings and has heard all others that run.
+        """Wait until an instance has settings and sees all running instances.
 
         Parameters
         ----------
@@ -86,31 +96,31 @@
             for other in self.instances
             if other in self._processes and self._processes[other].poll() is None
         }
-        self._wait(
+        self._wait_until(
             self.listen_address(name),
             "/status",
             lambda body: body["version_in_force"] > 0 and running <= set(body["live"]),
         )
 
-    def listen_address(self, name, part="lookup"):
-        """Return an address of an instance.
+    def listen_address(self, name, listener="lookup"):
+        """Return the address of one of an instance's listeners.
 
         Parameters
         ----------
         name : str
             The instance.
-        part : str, default="lookup"
-            Which of its addresses.
+        listener : str, default="lookup"
+            Name of the listener.
 
         Returns
         -------
         str
-            IP number and port.
+            IP address and port.
         """
-        return self.instances[name]["listen"][part]
+        return self.instances[name]["listen"][listener]
 
     def send_signal(self, name, number):
-        """Send a signal to a process of this deployment.
+        """Send a signal to the process of an instance.
 
         Parameters
         ----------
@@ -121,15 +131,15 @@
         """
         self._processes[name].send_signal(number)
 
-    def wait_end(self, name, timeout_s):
-        """Wait until a process has ended.
+    def wait_exit(self, name, timeout_s):
+        """Wait until the process of an instance has exited.
 
         Parameters
         ----------
         name : str
             The instance.
         timeout_s : float
-            Seconds to wait.
+            Maximum wait, in seconds.
 
         Returns
         -------
@@ -139,7 +149,7 @@
         return self._processes[name].wait(timeout_s)
 
     def pid(self, name):
-        """Return the process identifier of a process.
+        """Return the process identifier of an instance.
 
         Parameters
         ----------
@@ -152,49 +162,49 @@
         """
         return self._processes[name].pid
 
-    def call(self, listen_address, method, target, body=None):
-        """Call a process with JSON.
+    def call(self, address, method, target, body=None):
+        """Call one of the processes with JSON.
 
         Parameters
         ----------
-        listen_address : str
+        address : str
             Address and port.
         method, target : str
             HTTP method and path.
         body : object, default=None
-            Sent as JSON.
+            Request body, sent as JSON.
 
         Returns
         -------
         JsonResponse
         """
-        host, port = listen_address.split(":")
-        client = create_json_client(host, int(port), listen_address, timeout_s=5.0)
+        host, port = address.split(":")
+        client = create_json_client(host, int(port), address, timeout_s=5.0)
         try:
             return client.call(method, target, body)
         finally:
             client.close()
 
     def close(self):
-        """End all processes."""
+        """Kill all processes, also suspended ones."""
         for process in self._processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.kill()
         for process in self._processes.values():
-            process.wait(END_TIMEOUT_S)
+            process.wait(EXIT_TIMEOUT_S)
 
     def _require_free(self, host, port):
-        """Raise if another deployment runs on these addresses."""
+        """Raise if another process, such as another deployment, uses the address."""
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
                 sock.bind((host, port))
             except OSError as exc:
-                message = f"{host}:{port} is taken: does another deployment run?"
+                message = f"{host}:{port} is in use: is another deployment running?"
                 raise AddressTaken(message) from exc
 
-    def _run(self, name, *arguments):
+    def _spawn(self, name, *arguments):
         log = open(self.logs / f"{name}.log", "ab")  # noqa: SIM115
         environment = os.environ | {"PYTHONPATH": str(ROOT)}
         self._processes[name] = subprocess.Popen(
@@ -206,16 +216,16 @@
         )
         log.close()
 
-    def _wait(self, listen_address, target, ready):
-        until = time.monotonic() + START_TIMEOUT_S
-        while time.monotonic() < until:
+    def _wait_until(self, address, target, condition):
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline:
             try:
-                if ready(self.call(listen_address, "GET", target).body):
+                if condition(self.call(address, "GET", target).body):
                     return
             except PeerError:
                 pass
             time.sleep(0.05)
-        raise TimeoutError(f"{listen_address} is not ready after {START_TIMEOUT_S} s")
+        raise TimeoutError(f"{address} is not ready after {START_TIMEOUT_S} s")
 
 
 def create_deployment(example, logs):
--- a/demo/tests/test_faults.py
+++ b/demo/tests/test_faults.py
@@ -1,6 +1,6 @@
-"""Processes of a whole deployment under signals and store faults.
+"""A complete deployment under combinations of signals and store faults.
 
-Golden sessions and single faults are tested elsewhere; here faults come together.
+Golden sessions and single faults are tested elsewhere.
 """
 
 import json
@@ -18,7 +18,7 @@
 from quetzalwall.connection.single_attempt import OutgoingRequest, create_client
 from quetzalwall.exceptions import EndpointError, PeerError
 
-OUTCOME = "X-Quetzalwall-Outcome"
+OUTCOME_HEADER = "X-Quetzalwall-Outcome"
 
 
 @contextmanager
@@ -33,7 +33,7 @@
 
 
 def send(deployment, name, service, method, path, key=None, timeout_s=6.0):
-    """Return the outcome as a caller sees it; "lost" if it saw none."""
+    """Return the outcome that the caller sees; "lost" if it gets no response."""
     host, port = deployment.listen_address(name, "callers").split(":")
     client = create_client(host, int(port), name, connect_timeout_s=0.5)
     headers = {"Idempotency-Key": key} if key else {}
@@ -42,7 +42,7 @@
             req = OutgoingRequest(method, f"/s/{service}{path}", headers)
             res = client.send(req, timeout_s)
             res.read()
-            return res.get(OUTCOME)
+            return res.get(OUTCOME_HEADER)
     except (EndpointError, gevent.Timeout, Exception):
         return "lost"
     finally:
@@ -50,22 +50,22 @@
 
 
 def runs_by_key(deployment):
-    found = {}
+    runs = {}
     for subtree in deployment.tree.values():
         for service in subtree.get("services", {}).values():
             for spec in service["endpoints"].values():
-                place = f"{spec['address']}:{spec['port']}"
-                report = deployment.call(place, "GET", "/load").body
+                address = f"{spec['address']}:{spec['port']}"
+                report = deployment.call(address, "GET", "/load").body
                 for key, count in report["runs"].items():
-                    found[key] = found.get(key, 0) + count
-    return found
+                    runs[key] = runs.get(key, 0) + count
+    return runs
 
 
-def most_together(deployment, service, region):
-    """Return the most requests that ran at once at a service's endpoints in a region.
+def peak_concurrency(deployment, service, region):
+    """Return the maximum number of concurrent requests of a service in a region.
 
-    The endpoints count it; a sum of what each tells one after the other may count a
-    request twice that ends at one and another that begins elsewhere meanwhile.
+    The endpoints share a process, which counts it. Reports of the endpoints are read
+    one after another, so that their sum may include requests that did not overlap.
     """
     for subtree in deployment.tree.values():
         for spec in (
@@ -74,15 +74,15 @@
             .values()
         ):
             if spec["region"] == region:
-                place = f"{spec['address']}:{spec['port']}"
-                return deployment.call(place, "GET", "/load").body["most_together"]
+                address = f"{spec['address']}:{spec['port']}"
+                return deployment.call(address, "GET", "/load").body["most_together"]
     raise AssertionError("no such endpoint")
 
 
-def in_force(deployment, name):
+def active_version(deployment, name):
     try:
-        place = deployment.listen_address(name)
-        return deployment.call(place, "GET", "/status").body["version_in_force"]
+        address = deployment.listen_address(name)
+        return deployment.call(address, "GET", "/status").body["version_in_force"]
     except PeerError:
         return 0
 
@@ -91,7 +91,7 @@
     rng = random.Random(11)
     with running_deployment("whetstone") as deployment:
         names = list(deployment.instances)
-        told = {}
+        outcomes_by_key = {}
 
         def book(number):
             key = f"k{number}"
@@ -105,11 +105,11 @@
                     key=key,
                     timeout_s=4.0,
                 )
-                told.setdefault(key, []).append(outcome)
+                outcomes_by_key.setdefault(key, []).append(outcome)
                 if outcome == "answered":
                     return
 
-        def faults():
+        def inject_faults():
             for _ in range(4):
                 victim, paused = rng.sample(names, 2)
                 deployment.send_signal(paused, signal.SIGSTOP)
@@ -125,29 +125,31 @@
                 deployment.start_instance(victim)
                 gevent.sleep(0.5)
 
-        trouble = gevent.spawn(faults)
+        fault_task = gevent.spawn(inject_faults)
         pool = gevent.pool.Pool(20)
         for number in range(400):
             pool.spawn(book, number)
             gevent.sleep(0.02)
         pool.join()
-        trouble.get()
+        fault_task.get()
         gevent.sleep(3.0)
         runs = runs_by_key(deployment)
-        twice = [key for key, count in runs.items() if count > 1]
-        assert twice == []
-        lies = [
+        run_again = [key for key, count in runs.items() if count > 1]
+        assert run_again == []
+        false_not_run = [
             key
-            for key, outcomes in told.items()
+            for key, outcomes in outcomes_by_key.items()
             if set(outcomes) == {"not-run"} and runs.get(key)
         ]
-        assert lies == []
-        answered = [key for key, outcomes in told.items() if "answered" in outcomes]
+        assert false_not_run == []
+        answered = [
+            key for key, outcomes in outcomes_by_key.items() if "answered" in outcomes
+        ]
         assert all(runs.get(key) == 1 for key in answered)
         assert len(answered) > 200
 
 
-def test_paused_instance_keeps_to_its_part_of_a_regions_limit():
+def test_paused_instance_keeps_to_its_share_of_a_region_limit():
     limit = 7
     with running_deployment("whetstone") as deployment:
         names = list(deployment.instances)
@@ -160,7 +162,7 @@
         assert client.call("PUT", "/settings", body, headers=headers).status == 200
         client.close()
         with gevent.Timeout(5.0):
-            while any(in_force(deployment, name) < 2 for name in names):
+            while any(active_version(deployment, name) < 2 for name in names):
                 gevent.sleep(0.05)
         done = []
 
@@ -172,25 +174,25 @@
 
         callers = [gevent.spawn(load, name) for name in names for _ in range(3)]
         for pause in (True, False):
-            number = signal.SIGSTOP if pause else signal.SIGCONT
-            deployment.send_signal("north-1", number)
+            sent_signal = signal.SIGSTOP if pause else signal.SIGCONT
+            deployment.send_signal("north-1", sent_signal)
             gevent.sleep(4.0)
         done.append(True)
         gevent.joinall(callers)
-        most = most_together(deployment, "order-desk", "north")
-        assert 0 < most <= limit, most
+        peak = peak_concurrency(deployment, "order-desk", "north")
+        assert 0 < peak <= limit, peak
 
 
 def test_failure_domain_and_store_lost_together():
     with running_deployment("merrimack") as deployment:
-        roster = deployment.instances
-        lost = [n for n, spec in roster.items() if spec["domain"] == "lowell-a"]
-        left = [name for name in roster if name not in lost]
+        specs = deployment.instances
+        lost = [n for n, spec in specs.items() if spec["domain"] == "lowell-a"]
+        remaining = [name for name in specs if name not in lost]
         deployment.call(deployment.store, "POST", "/faults", {"down": True})
         for name in lost:
             deployment.send_signal(name, signal.SIGKILL)
         gevent.sleep(5.0)
-        for name in left:
+        for name in remaining:
             outcomes = [
                 send(deployment, name, "booking", "GET", f"/status/{n}")
                 for n in range(5)
@@ -223,13 +225,13 @@
         callers = [gevent.spawn(load) for _ in range(10)]
         for name in names[:3]:
             deployment.send_signal(name, signal.SIGTERM)
-            # Callers go on using cached look-up answers for their whole life.
+            # Callers keep using cached look-up responses until these expire.
             gevent.sleep(2.0)
             stopping.add(name)
-            status = gevent.get_hub().threadpool.apply(
-                deployment.wait_end, (name, 30.0)
+            exit_status = gevent.get_hub().threadpool.apply(
+                deployment.wait_exit, (name, 30.0)
             )
-            assert status == 0
+            assert exit_status == 0
             deployment.start_instance(name)
             gevent.get_hub().threadpool.apply(deployment.wait_ready, (name,))
             stopping.discard(name)
@@ -253,7 +255,7 @@
             assert outcome == "not-run"
         deployment.call(deployment.store, "POST", "/faults", {"down": False})
         with gevent.Timeout(4.0):
-            while any(in_force(deployment, name) != 1 for name in names):
+            while any(active_version(deployment, name) != 1 for name in names):
                 gevent.sleep(0.1)
         for name in names:
             outcome = send(deployment, name, "order-desk", "GET", "/status/1")
