--- a/quetzalwall/process/cluster/__init__.py
+++ b/quetzalwall/process/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What an instance knows: from the store, from its peers and from responses."""
+"""What an instance knows of the cluster by the store, its peers and responses."""
--- a/quetzalwall/process/cluster/advertised_limit.py
+++ b/quetzalwall/process/cluster/advertised_limit.py
@@ -107,7 +107,8 @@
         -------
         tuple of int
             The limit in thousandths, the age in ms of the response that gave it, and
-            the requests that this instance had to send and sent in the last window.
+            the requests that this instance would have sent without the limit and those
+            that it sent, both in the last window.
         """
         thousandths = ENDED if self.per_s is None else int(self.per_s * 1000)
         age_ms = LEARNED_FROM_PEER
--- a/quetzalwall/process/cluster/endpoint_state.py
+++ b/quetzalwall/process/cluster/endpoint_state.py
@@ -47,7 +47,7 @@
     cold_until : float
         Monotonic seconds until which it is cold.
     recent_objects : OrderedDict
-        Keys of the objects that it has served, the last one last.
+        Hashes of the keys of the objects that it has served, the last one last.
     advertised_limit : AdvertisedLimit or None
         The limit that it advertises, or advertised until a while ago.
     malformed_limit : str
@@ -259,7 +259,7 @@
         Parameters
         ----------
         object_key : int or None
-            Key of the object; None if the request names none.
+            Hash of the object's key; None if the request names none.
 
         Returns
         -------
@@ -286,7 +286,7 @@
         Parameters
         ----------
         object_key : int
-            Key of the object.
+            Hash of the object's key.
         """
         self.recent_objects[object_key] = True
         self.recent_objects.move_to_end(object_key)
--- a/quetzalwall/process/cluster/endpoint_table.py
+++ b/quetzalwall/process/cluster/endpoint_table.py
@@ -157,7 +157,7 @@
         service : str
             Name of the service.
         object_key : int
-            Key of the object.
+            Hash of the object's key.
 
         Returns
         -------
--- a/quetzalwall/process/cluster/fleet.py
+++ b/quetzalwall/process/cluster/fleet.py
@@ -111,7 +111,7 @@
         endpoint : str
             Identity of the endpoint.
         object_key : int
-            Key of the object.
+            Hash of the object's key.
         """
         for group in self._report_groups:
             group.cached.append((endpoint_code(endpoint), object_key))
--- a/quetzalwall/process/cluster/peer_report.py
+++ b/quetzalwall/process/cluster/peer_report.py
@@ -62,8 +62,8 @@
         Code of an endpoint, its slowness in hundredths, and the age of that figure in
         ms.
     cached : list of (int, int)
-        Code of an endpoint, and key of an object that it has served to the sender since
-        the sender's last report.
+        Code of an endpoint, and hash of the key of an object that it has served to the
+        sender since the sender's last report.
     confirmation_ages_ms : dict of str to int
         Milliseconds since the store last responded to the sender, by table.
     advertised_limits : list of (int, int, int, int, int)
--- a/quetzalwall/process/cluster/report_group.py
+++ b/quetzalwall/process/cluster/report_group.py
@@ -11,8 +11,8 @@
 ]
 
 MIN_REPORT_PERIOD_S = 0.1
-UNRESPONSIVE_AFTER_S = 1.5
-UNRESPONSIVE_PERIODS = 6
+UNRESPONSIVE_AFTER_S = 1.5  # without a report, where peers report often
+UNRESPONSIVE_PERIODS = 6  # periods without a report, where that is longer
 # Look-ups leave out an instance without a report for so long; it may still be running.
 LOOKUP_TIMEOUT_S = 5.5
 MAX_CACHED_PER_REPORT = 200  # objects
@@ -35,7 +35,7 @@
     last_sent_at : float
         Monotonic seconds of the last report to the group.
     cached : deque of (int, int)
-        Codes of endpoints and keys of objects to announce in the next report.
+        Code of an endpoint and hash of an object's key, to announce in the next report.
     """
 
     def __init__(self, same_region, max_datagrams_per_s):
--- a/quetzalwall/process/cluster/store_watch.py
+++ b/quetzalwall/process/cluster/store_watch.py
@@ -99,7 +99,7 @@
         gevent.killall(self._tasks, block=False)
 
     def in_outage(self):
-        """Return whether the store has been unavailable for a while.
+        """Return whether the last call failed and the table is unconfirmed for long.
 
         Returns
         -------
--- a/quetzalwall/process/cluster/tests/test_lookup_timeout.py
+++ b/quetzalwall/process/cluster/tests/test_lookup_timeout.py
@@ -9,8 +9,8 @@
 INSTANCES = 300
 REGIONS = ("north", "south", "east")
 STOPPED = {1, 3}  # one of the own region and one of another
-STABLE_S = 4.0
-TOLERANCE_S = 3.0  # the platform counts a stopped instance after that
+STABLE_S = 4.0  # after a fault, until the bounds of the platform hold again
+TOLERANCE_S = 3.0  # the platform counts look-ups with a stopped instance after that
 TICK_S = 0.1
 
 
--- a/quetzalwall/request/candidate_sample.py
+++ b/quetzalwall/request/candidate_sample.py
@@ -5,7 +5,7 @@
 SAMPLING_THRESHOLD = 256  # endpoints; up to this number all are candidates
 LOCAL_SAMPLE = 96  # endpoints of the preferred region
 REMOTE_SAMPLE = 32  # endpoints of other regions
-MAX_CACHED_OR_CONNECTED = 32  # endpoints with the object or a connection
+MAX_CACHED_OR_CONNECTED = 32  # endpoints with the object or a connection, in addition
 
 
 def sample_candidates(states, preferred, region, object_key, rng):
--- a/quetzalwall/request/endpoint_chooser.py
+++ b/quetzalwall/request/endpoint_chooser.py
@@ -19,7 +19,7 @@
 __all__ = ["Chooser", "Choice", "Rejection", "create_chooser"]
 
 PREFERRED_BONUS_S = 0.06  # off the cost of an object's first preferred endpoint
-SLOT_WEIGHT = 0.7  # fraction of the work in the cost: it delays later requests there
+SLOT_WEIGHT = 0.7  # fraction of the work added to the cost: it delays later requests
 CONNECT_PENALTY_S = 0.015  # if a new connection is needed
 CROWDING_THRESHOLD = 0.5  # fraction of slots in use; above, each one delays others
 CROWDED_SLOT_WEIGHT = 1.0  # further fraction of the work, times the crowding
@@ -27,7 +27,7 @@
 UNRESPONSIVE_RATIO = 1.5  # of the longest work; no response for longer: avoided
 MIN_UNRESPONSIVE_S = 1.0  # reports of other instances come up to half a second late
 UNTRIED_BONUS_S = 0.3  # off the cost of an idle endpoint that has served no objects yet
-YIELDING_QUEUEING_RATIO = 0.5  # of the shortest target of more urgent routes
+LESS_URGENT_QUEUEING_RATIO = 0.5  # of the shortest target of more urgent routes
 MAX_QUEUEING_RATIO = 1.2  # of its own target, for a request of a most urgent route
 REMOTE_PENALTY_S = 0.05  # for traffic between regions
 FREE_FRACTION = 0.8  # of the slots; with fewer in use no queueing is expected
@@ -349,7 +349,7 @@
         if other.rank < route.rank and any(name == service for name, _ in other.split)
     ]
     if urgent_targets:
-        return YIELDING_QUEUEING_RATIO * min(urgent_targets)
+        return LESS_URGENT_QUEUEING_RATIO * min(urgent_targets)
     return MAX_QUEUEING_RATIO * route.target_s
 
 
@@ -375,7 +375,7 @@
 
 
 def _crowding(candidates):
-    """Return the fraction of a service's slots in use that exceeds the threshold."""
+    """Return by how much requests per slot exceed the threshold; 0 up to it."""
     slots = sum(state.entry.slots for state in candidates)
     used = sum(state.in_flight() for state in candidates)
     return max(0.0, used / slots - CROWDING_THRESHOLD)
--- a/quetzalwall/request/request_server.py
+++ b/quetzalwall/request/request_server.py
@@ -230,7 +230,7 @@
         return result or self._failure_result(req, failure)
 
     def _fall_back(self, req, state, tried, fallbacks):
-        """Return whether to abandon an unresponsive endpoint, for a fallback found."""
+        """Return whether to abandon an unresponsive endpoint; if so, add a fallback."""
         now = self._monotonic()
         instances = self._cluster_state.fleet.size()
         if self._grace.stopping or req.deadline - now < MIN_ATTEMPT_S:
@@ -250,7 +250,7 @@
         now = self._monotonic()
         remaining_s = req.deadline - now
         ctx = (req.cfg, req.route, req.service, req.object_key, remaining_s, now, tried)
-        # Attempts of a request that was accepted may start until the end.
+        # Only the first attempt has to start while requests are accepted.
         stop_s = self._grace.end - now if tried else self._grace.accept_limit_s()
         shift = self._limits.shifts.choose_shift(req.service, now)
         choice = Rejection("no shift", 0.0)
--- a/quetzalwall/request/tests/test_candidate_sample.py
+++ b/quetzalwall/request/tests/test_candidate_sample.py
@@ -10,7 +10,7 @@
 
 ENDPOINTS = 750
 ROUNDS = 200
-MAX_SLOWDOWN = 0.1  # fraction of the expected time, with endpoints about equally busy
+MAX_SLOWDOWN = 0.1  # fraction of the expected time, if all have the same mean load
 
 
 def choose(chooser, key, **options):
@@ -55,8 +55,8 @@
         assert choose(chooser, key, region="south").state.region == "south"
 
 
-# Under uneven load, the best endpoint of a sample must be expected to respond about as
-# soon as the best of all.
+# With random numbers of requests at the endpoints, the best one of a sample must be
+# expected to respond about as soon as the best of all.
 def test_best_of_a_sample_is_hardly_slower_than_best_of_all():
     mean_s = {}
     for threshold in (SAMPLING_THRESHOLD, ENDPOINTS):
--- a/quetzalwall/request/tests/test_choice_cpu_time.py
+++ b/quetzalwall/request/tests/test_choice_cpu_time.py
@@ -66,13 +66,14 @@
     return min(cpu_times) / CHOICES_PER_ROUND
 
 
-# Each choice ordered all instances for each cold endpoint, which took 80 to 180 ms a
-# request with 300 instances.
+# Each choice ordered all instances for each cold endpoint, which blocked the event loop
+# for 80 to 180 ms a request with 300 instances (incident report 3, at scale).
 def test_cold_endpoints_hardly_add_to_the_cpu_time_of_a_choice():
     assert choice_cpu_s(LARGE, COLD_S) < MAX_CPU_TIME_RATIO * choice_cpu_s(LARGE, 0.0)
 
 
 # Each choice compared all endpoints of a service, so that the time for the choices of
-# all instances together grew with the square of the deployment.
+# all instances together grew with the square of the deployment, and a large simulated
+# deployment was too slow (incident report 3).
 def test_cpu_time_of_a_choice_hardly_grows_with_the_deployment():
     assert choice_cpu_s(LARGE, 0.0) < MAX_CPU_TIME_RATIO * choice_cpu_s(SMALL, 0.0)
--- a/quetzalwall/request/tests/test_load_patterns.py
+++ b/quetzalwall/request/tests/test_load_patterns.py
@@ -1,4 +1,7 @@
-"""Response times and time-outs under difficult loads, simulated without a network."""
+"""Response times and time-outs under loads that have caused trouble.
+
+The loads are simulated without a network.
+"""
 
 from nose2.tools import params
 
@@ -37,7 +40,8 @@
         assert in_target > baseline, (name, in_target, other, baseline)
 
 
-def test_cold_start_ends_with_objects_cached():
+# Requests would keep timing out if endpoints did not get to cache their objects.
+def test_few_requests_time_out_in_a_cold_start():
     for seed in SEEDS:
         result = play(COLD_START, seed=seed)
         assert result.timed_out < 0.05, result
