--- a/quetzalwall/process/cluster/__init__.py
+++ b/quetzalwall/process/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What an instance knows of the cluster by the store, its peers and responses."""
+"""What an instance knows of the cluster, from the store, its peers and responses."""
--- a/quetzalwall/process/cluster/advertised_limit.py
+++ b/quetzalwall/process/cluster/advertised_limit.py
@@ -13,7 +13,7 @@
 RESOLUTION_S = 0.05
 OVERCOMMIT_FACTOR = 1.1  # of the rate, as instances that send less leave shares unused
 BURST_WINDOW_S = 1.0
-BURST_FACTOR = 1.3  # of a second's share, so that little is sent when a limit falls
+BURST_FACTOR = 1.3  # of a second's share, so that little was sent when a limit falls
 # Bound on the requests of all instances together, by their reports: a multiple of the
 # rate, and a number of requests beyond it.
 MAX_FLEET_FACTOR = 1.25
--- a/quetzalwall/process/cluster/tests/test_endpoint_table.py
+++ b/quetzalwall/process/cluster/tests/test_endpoint_table.py
@@ -32,7 +32,7 @@
     assert resident_bytes() - before < MAX_GROWTH_BYTES
 
 
-def test_preferred_endpoints_change_only_by_a_new_endpoint():
+def test_new_endpoint_keeps_the_order_of_preferred_endpoints():
     table = create_table(12)
     before = [table.preferred_ranks("desk", key) for key in range(200)]
     table.put(create_entry("ep-new", 99))
--- a/quetzalwall/request/claim.py
+++ b/quetzalwall/request/claim.py
@@ -178,7 +178,7 @@
         self._record(claim, {"state": NOT_RUN})
 
     def record_unknown(self, claim):
-        """Record, in the background, that the request was sent and got no response.
+        """Record, in the background, that it is not known whether the request ran.
 
         Parameters
         ----------
