--- a/benchmarks/cases/named_limits.py
+++ b/benchmarks/cases/named_limits.py
@@ -1,6 +1,6 @@
 """Load on endpoints that advertise limits, compared with the platform's bound."""
 
-from benchmarks.limit_simulation import LimitPattern, compare_with_limit, play
+from benchmarks.limit_simulation import LimitPattern, compare_with_limit, simulate
 from benchmarks.rows import make_row
 
 __all__ = ["run"]
@@ -86,7 +86,7 @@
     )
     max_fractions, used_fractions = [], []
     for seed in seeds:
-        arrivals, advertised, _ = play(pattern, seed)
+        arrivals, advertised, _ = simulate(pattern, seed)
         usage = [
             compare_with_limit(*pair) for pair in zip(arrivals, advertised, strict=True)
         ]
--- a/benchmarks/cases/platform_choice.py
+++ b/benchmarks/cases/platform_choice.py
@@ -1,16 +1,16 @@
 """Simulated choice of endpoints on the platform, by load pattern and policy."""
 
+from benchmarks.choice_simulation import POLICIES, simulate
 from benchmarks.load_pattern import (
-    BEYOND_COLD,
     COLD_START,
-    FEW_AN_OBJECT,
+    COLD_START_OVERLOAD,
+    CROWDED_WITH_FAILURES,
+    FEW_REQUESTS_PER_OBJECT,
     QUIET,
     REGION_LOST,
     SLOW_NEIGHBOURS,
     SURGE,
-    TROUBLE,
 )
-from benchmarks.platform_load import POLICIES, play
 from benchmarks.rows import make_row
 
 __all__ = ["run"]
@@ -27,12 +27,12 @@
 PATTERNS = {
     "quiet": QUIET,
     "cold start": COLD_START,
-    "beyond cold": BEYOND_COLD,
-    "few an object": FEW_AN_OBJECT,
+    "beyond cold": COLD_START_OVERLOAD,
+    "few an object": FEW_REQUESTS_PER_OBJECT,
     "slow neighbours": SLOW_NEIGHBOURS,
     "surge, 3 times": SURGE,
     "a region lost": REGION_LOST,
-    "crowded, in trouble": TROUBLE,
+    "crowded, in trouble": CROWDED_WITH_FAILURES,
 }
 
 
@@ -51,6 +51,6 @@
 
 
 def _row(name, pattern, policy):
-    percents = [100 * play(pattern, policy, seed).in_target for seed in SEEDS]
+    percents = [100 * simulate(pattern, policy, seed).in_target for seed in SEEDS]
     bound = BOUND if policy == "ours" else ""
     return make_row(f"in target, {name}", "model", policy, percents, "%", bound, True)
--- a/benchmarks/platform_load.py
+++ b/benchmarks/choice_simulation.py
@@ -25,7 +25,7 @@
 from quetzalwall.request.latency_model import create_latency_model
 from quetzalwall.version.model import Configuration, Limits, Route, Service
 
-__all__ = ["Pattern", "Result", "play"]
+__all__ = ["Pattern", "Result", "simulate"]
 
 REPORT_PERIOD_S = 0.1
 SERVICE = "desk"
@@ -339,7 +339,7 @@
 }
 
 
-def play(pattern, policy="ours", seed=1):
+def simulate(pattern, policy="ours", seed=1):
     """Simulate a load pattern and return the outcomes of its requests.
 
     Parameters
--- a/benchmarks/limit_simulation.py
+++ b/benchmarks/limit_simulation.py
@@ -12,7 +12,7 @@
 )
 from quetzalwall.process.cluster.report_group import ReportGroup
 
-__all__ = ["LimitPattern", "compare_with_limit", "play"]
+__all__ = ["LimitPattern", "compare_with_limit", "simulate"]
 
 STEP_S = 0.02
 SETTLE_S = 4.0  # after a first limit or a fault, until an excess counts
@@ -88,7 +88,7 @@
     counted: bool
 
 
-def play(pattern, seed):
+def simulate(pattern, seed):
     """Simulate a load on endpoints with limits.
 
     Parameters
--- a/benchmarks/load_pattern.py
+++ b/benchmarks/load_pattern.py
@@ -3,15 +3,15 @@
 from typing import NamedTuple
 
 __all__ = [
-    "BEYOND_COLD",
+    "COLD_START_OVERLOAD",
     "COLD_START",
-    "FEW_AN_OBJECT",
-    "FEW_HELD",
+    "FEW_REQUESTS_PER_OBJECT",
+    "SMALL_CACHES",
     "QUIET",
     "REGION_LOST",
     "SLOW_NEIGHBOURS",
     "SURGE",
-    "TROUBLE",
+    "CROWDED_WITH_FAILURES",
     "Pattern",
     "Result",
 ]
@@ -97,15 +97,17 @@
 # cached; long queues of requests that time out would keep the caches from filling.
 COLD_START = Pattern(requests_per_s=260.0)
 # What can't be served in time has to be rejected, not queued.
-BEYOND_COLD = COLD_START._replace(requests_per_s=400.0)
+COLD_START_OVERLOAD = COLD_START._replace(requests_per_s=400.0)
 # Endpoints cache few objects, which has to be learned from their responses.
-FEW_HELD = Pattern(requests_per_s=150.0, cache_size=8)
-FEW_AN_OBJECT = Pattern(requests_per_s=30.0, objects=150, endpoints=15, slots=3)
+SMALL_CACHES = Pattern(requests_per_s=150.0, cache_size=8)
+FEW_REQUESTS_PER_OBJECT = Pattern(
+    requests_per_s=30.0, objects=150, endpoints=15, slots=3
+)
 SLOW_NEIGHBOURS = Pattern(requests_per_s=90.0, slow_ratio=4.0)
 # More work than endpoints with empty caches can process, while one in five becomes
 # unresponsive and returns with an empty cache, some are slowed by their neighbours, and
 # rejected requests are sent again.
-TROUBLE = Pattern(
+CROWDED_WITH_FAILURES = Pattern(
     requests_per_s=190.0,
     work_s=0.7,
     objects=80,
--- a/quetzalwall/request/tests/test_load_patterns.py
+++ b/quetzalwall/request/tests/test_load_patterns.py
@@ -5,31 +5,31 @@
 
 from nose2.tools import params
 
+from benchmarks.choice_simulation import simulate
 from benchmarks.load_pattern import (
-    BEYOND_COLD,
     COLD_START,
-    FEW_AN_OBJECT,
-    FEW_HELD,
+    COLD_START_OVERLOAD,
+    CROWDED_WITH_FAILURES,
+    FEW_REQUESTS_PER_OBJECT,
     QUIET,
     SLOW_NEIGHBOURS,
-    TROUBLE,
+    SMALL_CACHES,
 )
-from benchmarks.platform_load import play
 
 SEEDS = (1, 2, 3)
 FAILURE_SEEDS = (1, 2, 3, 4, 5)
 
 
 def mean_in_target(pattern, choice="ours"):
-    return sum(play(pattern, choice, seed).in_target for seed in SEEDS) / len(SEEDS)
+    return sum(simulate(pattern, choice, seed).in_target for seed in SEEDS) / len(SEEDS)
 
 
 @params(
     ("quiet", QUIET, 0.9),
     ("more work than cold endpoints can process", COLD_START, 0.9),
-    ("far more work than cold endpoints can process", BEYOND_COLD, 0.9),
-    ("endpoints that cache few objects", FEW_HELD, 0.85),
-    ("few requests per object", FEW_AN_OBJECT, 0.8),
+    ("far more work than cold endpoints can process", COLD_START_OVERLOAD, 0.9),
+    ("endpoints that cache few objects", SMALL_CACHES, 0.85),
+    ("few requests per object", FEW_REQUESTS_PER_OBJECT, 0.8),
     ("slow neighbours", SLOW_NEIGHBOURS, 0.85),
 )
 def test_requests_meet_their_target_response_time(name, pattern, min_in_target):
@@ -43,11 +43,13 @@
 # Requests would keep timing out if endpoints did not get to cache their objects.
 def test_few_requests_time_out_in_a_cold_start():
     for seed in SEEDS:
-        result = play(COLD_START, seed=seed)
+        result = simulate(COLD_START, seed=seed)
         assert result.timed_out < 0.05, result
 
 
 def test_crowded_service_with_failures_keeps_objects_at_their_endpoints():
     # Spread over all endpoints, each object would cost the long uncached work often.
-    in_target = [play(TROUBLE, seed=seed).in_target for seed in FAILURE_SEEDS]
+    in_target = [
+        simulate(CROWDED_WITH_FAILURES, seed=seed).in_target for seed in FAILURE_SEEDS
+    ]
     assert sum(in_target) / len(in_target) >= 0.725, in_target
