--- a/benchmarks/limit_simulation.py
+++ b/benchmarks/limit_simulation.py
@@ -18,9 +18,9 @@
 SETTLE_S = 4.0  # after a first limit or a fault, until an excess counts
 WINDOW_S = 4.0  # over which requests are compared with the limit
 LIMIT_EFFECT_S = 0.5  # from a response with a limit until its receiver has to obey it
-REGIONS = 3
-ONE_WAY_S = (0.001, 0.035)  # within a region, and to another one
-WORK_S = 0.1
+REGION_COUNT = 3
+ONE_WAY_S = (0.001, 0.035)  # network delay within a region, and to another one
+WORK_S = 0.1  # that an endpoint needs for a request
 DATAGRAM_LOSS_FRACTION = 0.01
 DISCOVERY_S = 0.3  # until a new instance is known to the others
 FORGET_S = 30.0
@@ -59,7 +59,7 @@
 class _Instance:
     def __init__(self, number, started_at):
         self.name = f"front-{number}"
-        self.region = number % REGIONS
+        self.region = number % REGION_COUNT
         self.started_at = started_at
         self.limits = {}
         self.limited_since = {}
@@ -210,7 +210,7 @@
         instance = self.rng.choice(self._running(now))
         order = list(range(self.pattern.endpoints))
         self.rng.shuffle(order)
-        order.sort(key=lambda number: number % REGIONS != instance.region)
+        order.sort(key=lambda number: number % REGION_COUNT != instance.region)
         for number in order:
             limit = instance.limits.get(number)
             if self.pattern.enforced and limit is not None:
@@ -218,7 +218,7 @@
                 if not limit.allows(f"ep-{number}", instance.name, self.names, now):
                     continue
                 limit.record_sent(now)
-            one_way_s = ONE_WAY_S[number % REGIONS != instance.region]
+            one_way_s = ONE_WAY_S[number % REGION_COUNT != instance.region]
             one_way_s += self.rng.random() * STEP_S
             self._schedule(
                 one_way_s, self._receive_request, instance, number, one_way_s
@@ -260,10 +260,10 @@
     Returns
     -------
     (float, float)
-        The most counted requests in 4 s, as a fraction of the bound (1.5 times the
-        limit and 5 requests more), and the requests as a fraction of those that the
-        limit allows; both from `SETTLE_S` after the first limit. (0, NaN) if the
-        endpoint never advertises a limit.
+        The most counted requests in 4 s with a limit throughout, as a fraction of the
+        bound (1.5 times the limit and 5 requests more), and the requests as a fraction
+        of those that the limit allows; both from `SETTLE_S` after the first limit.
+        (0, NaN) if the endpoint never advertises a limit.
     """
     first = next((s for s, per_s in advertised.items() if per_s is not None), None)
     if first is None:
--- a/deploy/build.py
+++ b/deploy/build.py
@@ -7,8 +7,8 @@
 
 A folder is replaced atomically: libraries are installed into a temporary folder, test
 imported, and exchanged with the old folder in one step. A complete folder is only read,
-so that builds by any user accept it. A lock serialises builds that install. This module
-uses only the standard library.
+so that it serves builds and instances of any user. A lock serialises builds that
+install. This module uses only the standard library.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 MAX_ATTEMPTS = 3  # a package registry may be unavailable for a moment
 RETRY_PAUSE_S = 5.0
 MAX_PROBES = 4  # of the package registry, at once
-PIP_TIMEOUT_S = 150.0
+PIP_TIMEOUT_S = 150.0  # of one command of pip, so of one attempt
 INSTALL_TIMEOUT_S = 660.0  # all installations; the platform ends a build after 15 min
 # The user's settings of pip that redirect or prevent an installation.
 PIP_DISABLED = ("PIP_USER", "PIP_REQUIRE_VIRTUALENV", "PIP_DRY_RUN", "PIP_NO_DEPS")
@@ -203,7 +203,7 @@
 
 
 def _compile_package(root, interfaces):
-    """Compile the package; where that fails, each instance does it at its start."""
+    """Compile the package to bytecode; else each start of an instance has to do it."""
     for python in filter(None, (interface.python for interface in interfaces)):
         subprocess.run(
             [python, "-m", "compileall", "-qq", "-x", "/tests/", root / PACKAGE],
--- a/deploy/tests/test_other_pythons.py
+++ b/deploy/tests/test_other_pythons.py
@@ -27,7 +27,7 @@
 if "%d.%d" % sys.version_info[:2] != "{}":
     raise ImportError("compiled for Python {}")
 """
-# Replaces the command line, for which the empty libraries of the test would not do.
+# Replaces the command line, which needs more than the empty libraries of the test.
 IMPORT_LIBRARIES = """
 import gevent, geventhttpclient, jsonschema, logbook
 import msgspec, prometheus_client, xxhash
@@ -104,7 +104,7 @@
         assert all(process.stdout == "served\n" for process in processes.values()), err
 
 
-# An older Python ended with a traceback that did not tell the required release.
+# An older Python ended with a traceback that did not name the required release.
 def test_build_by_an_unsupported_python_works_or_prints_one_line():
     with checkout() as (root, registry):
         status, err = finish(start_build(root, registry, OLD_PYTHON))
--- a/quetzalwall/platform/headers.py
+++ b/quetzalwall/platform/headers.py
@@ -36,7 +36,7 @@
 LIMIT_PATTERN = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?")
 MAX_LOGGED_CHARACTERS = 60  # characters of a malformed limit that are logged
 OBJECT_COOKIE = "X-Quetzalwall-Affinity-Key"
-# Headers of callers that are not forwarded to endpoints.
+# Headers of callers that are not forwarded: the instance sends its own values.
 CONSUMED_HEADERS = frozenset((DEADLINE_HEADER.lower(), EXPECT_HEADER.lower()))
 READY_PATH = "/ready"
 MAX_LOOKUP_ADDRESSES = 64  # in one look-up response
@@ -190,6 +190,10 @@
 
 
 def _parse_load(text):
+    """Return requests running and waiting, slots and slowness; None if malformed.
+
+    The header gives the slowness as an optional fourth number, in percent.
+    """
     parts = (text or "").split(",")
     if len(parts) not in (3, 4):
         return None
--- a/quetzalwall/platform/store.py
+++ b/quetzalwall/platform/store.py
@@ -91,8 +91,8 @@
     port : int
         TCP port of the store.
     timeout_s : float, default=2.0
-        Time-out of a call in seconds, plus the time that the store may wait for a
-        change.
+        Time-out of a call in seconds. For `follow`, the time that the store may wait
+        for a change is added to it.
     """
 
     def __init__(self, host, port, timeout_s=2.0):
@@ -100,7 +100,7 @@
         self.timeout_s = timeout_s
 
     def read(self, table):
-        """Return all rows of a table whose part is empty.
+        """Return all rows of a table that have an empty part.
 
         Parameters
         ----------
--- a/quetzalwall/platform/tests/test_advertised_limit.py
+++ b/quetzalwall/platform/tests/test_advertised_limit.py
@@ -17,7 +17,7 @@
         metadata = parse_limit_headers(text, name=name)
         assert metadata.limit_per_s == limit_per_s
         assert not metadata.malformed_limit
-        assert metadata.headers == [STAMP]  # callers do not get it
+        assert metadata.headers == [STAMP]  # it is for instances, not callers
 
 
 @params("", " ", "-1", "+5", "nan", "inf", "1e400", "1e3", "0x10", "5/s", "5,5", ".")
@@ -28,7 +28,7 @@
 
 
 @params("9" * 400, "0." + "9" * 400, "\u0665", "5\x00")
-def test_unsuitable_number_is_no_limit(text):
+def test_number_too_long_or_with_other_characters_is_no_limit(text):
     metadata = parse_limit_headers(text)
     assert metadata.limit_per_s is None
     assert 0 < len(metadata.malformed_limit) <= 60
--- a/quetzalwall/platform/tests/test_settings.py
+++ b/quetzalwall/platform/tests/test_settings.py
@@ -186,7 +186,7 @@
     assert settings.bounds == previous.bounds._replace(cold_slack=7.0)
 
 
-def test_previous_bounds_replace_malformed_table():
+def test_previous_bounds_replace_malformed_but_not_null_bounds():
     previous = read_text(render_template())
     assert read_text(render_template(bounds=7), [], previous).bounds == previous.bounds
     assert read_text(render_template(bounds=None), [], previous).bounds == Bounds()
