--- a/benchmarks/cases/named_limits.py
+++ b/benchmarks/cases/named_limits.py
@@ -29,15 +29,19 @@
     """
     rows = []
     for instances, seeds in SEEDS_BY_INSTANCE_COUNT.items():
-        for name, limit, mean in _limit_patterns():
-            rows += _rows(instances, seeds, name, limit, mean, True)
-        name, limit, mean = next(_limit_patterns())
-        rows += _rows(instances, seeds, name, limit, mean, False)
+        for name, limit, usual_per_s in _limit_patterns():
+            rows += _rows(instances, seeds, name, limit, usual_per_s, True)
+        name, limit, usual_per_s = next(_limit_patterns())
+        rows += _rows(instances, seeds, name, limit, usual_per_s, False)
     return rows
 
 
 def _limit_patterns():
-    """Yield the name, limit function and mean requests a second of each pattern."""
+    """Yield name, limit function and usual limit (requests a second) of each pattern.
+
+    The load is a multiple of the usual limit, which some patterns have only at times or
+    at some endpoints.
+    """
     yield "5 a second", _after_first_limit(lambda number, now: 5.0), 5.0
     yield "0.5 a second", _after_first_limit(lambda number, now: 0.5), 0.5
     yield "20 a second", _after_first_limit(lambda number, now: 20.0), 20.0
@@ -72,7 +76,7 @@
     return limit
 
 
-def _rows(instances, seeds, name, limit, mean, enforced):
+def _rows(instances, seeds, name, limit, usual_per_s, enforced):
     fault_count = max(1, instances // 10)
     faults = (
         ("kill", 8.0, fault_count, 2.0),
@@ -80,7 +84,7 @@
         ("cut", 18.0, fault_count, 3.0),
         ("add", 23.0, fault_count, 0.0),
     )
-    requests_per_s = ENDPOINT_COUNT * mean * DEMAND_RATIO
+    requests_per_s = ENDPOINT_COUNT * usual_per_s * DEMAND_RATIO
     pattern = LimitPattern(
         instances, ENDPOINT_COUNT, limit, requests_per_s, DURATION_S, faults, enforced
     )
--- a/benchmarks/limit_simulation.py
+++ b/benchmarks/limit_simulation.py
@@ -248,7 +248,7 @@
 
 
 def compare_with_limit(arrivals, advertised):
-    """Return the largest excess over an endpoint's limit, and how much of it was used.
+    """Return how much of an endpoint's limit was used: at most in 4 s, and in all.
 
     Parameters
     ----------
