--- a/benchmarks/cases/platform_choice.py
+++ b/benchmarks/cases/platform_choice.py
@@ -8,7 +8,7 @@
     FEW_REQUESTS_PER_OBJECT,
     QUIET,
     REGION_LOST,
-    SLOW_NEIGHBOURS,
+    SLOW_ENDPOINTS,
     SURGE,
 )
 from benchmarks.rows import make_row
@@ -29,7 +29,7 @@
     "cold start": COLD_START,
     "beyond cold": COLD_START_OVERLOAD,
     "few an object": FEW_REQUESTS_PER_OBJECT,
-    "slow neighbours": SLOW_NEIGHBOURS,
+    "slow neighbours": SLOW_ENDPOINTS,
     "surge, 3 times": SURGE,
     "a region lost": REGION_LOST,
     "crowded, in trouble": CROWDED_WITH_FAILURES,
--- a/benchmarks/load_pattern.py
+++ b/benchmarks/load_pattern.py
@@ -9,7 +9,7 @@
     "SMALL_CACHES",
     "QUIET",
     "REGION_LOST",
-    "SLOW_NEIGHBOURS",
+    "SLOW_ENDPOINTS",
     "SURGE",
     "CROWDED_WITH_FAILURES",
     "Pattern",
@@ -103,7 +103,7 @@
 FEW_REQUESTS_PER_OBJECT = Pattern(
     requests_per_s=30.0, objects=150, endpoints=15, slots=3
 )
-SLOW_NEIGHBOURS = Pattern(requests_per_s=90.0, slow_ratio=4.0)
+SLOW_ENDPOINTS = Pattern(requests_per_s=90.0, slow_ratio=4.0)
 # More work than endpoints with empty caches can process, while one in five becomes
 # unresponsive and returns with an empty cache, some are slowed by their neighbours, and
 # rejected requests are sent again.
--- a/quetzalwall/request/tests/test_load_patterns.py
+++ b/quetzalwall/request/tests/test_load_patterns.py
@@ -12,7 +12,7 @@
     CROWDED_WITH_FAILURES,
     FEW_REQUESTS_PER_OBJECT,
     QUIET,
-    SLOW_NEIGHBOURS,
+    SLOW_ENDPOINTS,
     SMALL_CACHES,
 )
 
@@ -30,7 +30,7 @@
     ("far more work than cold endpoints can process", COLD_START_OVERLOAD, 0.9),
     ("endpoints that cache few objects", SMALL_CACHES, 0.85),
     ("few requests per object", FEW_REQUESTS_PER_OBJECT, 0.8),
-    ("slow neighbours", SLOW_NEIGHBOURS, 0.85),
+    ("slow neighbours", SLOW_ENDPOINTS, 0.85),
 )
 def test_requests_meet_their_target_response_time(name, pattern, min_in_target):
     in_target = mean_in_target(pattern)
