--- a/deploy/tests/test_build.py
+++ b/deploy/tests/test_build.py
@@ -126,13 +126,13 @@
             path.chmod(mode)
 
 
-def finish(process):
+def wait_for_build(process):
     """Return the exit status and standard error of a build."""
     _, err = process.communicate(timeout=120)
     return process.returncode, err
 
 
-def missing(root):
+def missing_libraries(root):
     """Return the names of the libraries that are not installed."""
     return [
         n
@@ -145,9 +145,9 @@
 def test_interrupted_installation_is_completed():
     with checkout() as (root, registry):
         (root / LIBRARY_FOLDER / "gevent").mkdir(parents=True)
-        status, err = finish(start_build(root, registry))
+        status, err = wait_for_build(start_build(root, registry))
         assert status == 0, err
-        assert not missing(root)
+        assert not missing_libraries(root)
 
 
 # With several deployments building from one checkout at once, a build reported success
@@ -157,11 +157,11 @@
         builds = [start_build(root, registry) for _ in range(3)]
         while all(process.poll() is None for process in builds):
             pass
-        lacking = missing(root)
+        lacking = missing_libraries(root)
         inode = (
             (root / LIBRARY_FOLDER / "gevent").stat().st_ino if not lacking else None
         )
-        assert [finish(process)[0] for process in builds] == [0, 0, 0]
+        assert [wait_for_build(process)[0] for process in builds] == [0, 0, 0]
         assert not lacking
         assert (root / LIBRARY_FOLDER / "gevent").stat().st_ino == inode
 
@@ -169,29 +169,29 @@
 # A build accepted libraries that had been installed for another Python.
 def test_libraries_for_another_python_are_reinstalled():
     with checkout() as (root, registry):
-        assert finish(start_build(root, registry))[0] == 0
+        assert wait_for_build(start_build(root, registry))[0] == 0
         other = next(
             p for p in (root / LIBRARY_FOLDER).parent.glob("cpython-*") if p.name != TAG
         )
         shutil.rmtree(root / LIBRARY_FOLDER)
         other.rename(root / LIBRARY_FOLDER)
         (root / LIBRARY_FOLDER / "xxhash/__init__.py").write_text("raise ImportError")
-        assert finish(start_build(root, registry))[0] == 0
+        assert wait_for_build(start_build(root, registry))[0] == 0
         assert (root / LIBRARY_FOLDER / "xxhash/__init__.py").read_text() == ""
 
 
 def test_failed_build_reports_why_and_keeps_the_earlier_libraries():
     with checkout() as (root, registry):
-        assert finish(start_build(root, registry))[0] == 0
+        assert wait_for_build(start_build(root, registry))[0] == 0
         (root / "constraints.txt").write_text("xxhash==0.0.1\n")
         build = (root / "deploy/build.py").read_text()
         (root / "deploy/build.py").write_text(
             build.replace("RETRY_PAUSE_S = 5.0", "RETRY_PAUSE_S = 0")
         )
-        status, err = finish(start_build(root, registry))
+        status, err = wait_for_build(start_build(root, registry))
         assert status == 1
         assert "could not be installed" in err and "xxhash" in err
-        assert not missing(root)
+        assert not missing_libraries(root)
         names = [p.name for p in (root / LIBRARY_FOLDER).parent.iterdir() if p.is_dir()]
         assert all(name.startswith("cpython-") for name in names), names
 
@@ -200,9 +200,9 @@
 # file can be written.
 def test_complete_installation_is_accepted_without_write_permission():
     with checkout() as (root, registry):
-        assert finish(start_build(root, registry))[0] == 0
+        assert wait_for_build(start_build(root, registry))[0] == 0
         with write_protected(root):
-            status, err = finish(
+            status, err = wait_for_build(
                 start_build(root, registry, preexec=respect_permissions)
             )
         assert status == 0, err
@@ -212,9 +212,9 @@
 # used them.
 def test_another_patch_release_uses_the_same_libraries():
     with checkout() as (root, registry):
-        assert finish(start_build(root, registry))[0] == 0
+        assert wait_for_build(start_build(root, registry))[0] == 0
         inode = (root / LIBRARY_FOLDER / "gevent").stat().st_ino
-        status, err = finish(start_build(root, registry, OTHER_PATCH_RELEASE))
+        status, err = wait_for_build(start_build(root, registry, OTHER_PATCH_RELEASE))
         assert status == 0, err
         assert (root / LIBRARY_FOLDER / "gevent").stat().st_ino == inode
 
@@ -222,12 +222,12 @@
 # A process that started between two renames found no libraries.
 def test_libraries_exist_at_every_rename_of_a_replacement():
     with checkout() as (root, registry):
-        assert finish(start_build(root, registry))[0] == 0
+        assert wait_for_build(start_build(root, registry))[0] == 0
         with open(root / "constraints.txt", "a") as constraints:
             constraints.write("# another installation is wanted\n")
-        status, err = finish(start_build(root, registry, WATCH_RENAMES))
+        status, err = wait_for_build(start_build(root, registry, WATCH_RENAMES))
         assert status == 0, err
-        assert not missing(root)
+        assert not missing_libraries(root)
         assert not (root / "gap").exists()
 
 
@@ -241,7 +241,7 @@
     with checkout() as (root, registry):
         (root / "target").mkdir()
         with write_protected(root / "target"):
-            status, err = finish(
+            status, err = wait_for_build(
                 start_build(root, registry, preexec=respect_permissions)
             )
         assert status == 1
--- a/deploy/tests/test_other_pythons.py
+++ b/deploy/tests/test_other_pythons.py
@@ -11,8 +11,8 @@
     ROOT,
     WHEEL,
     checkout,
-    finish,
     start_build,
+    wait_for_build,
 )
 
 RELEASES = ("3.11", "3.12", "3.13", "3.14")  # supported by the package
@@ -94,7 +94,7 @@
         shutil.copytree(ROOT / "quetzalwall", root / "quetzalwall")
         (root / "quetzalwall/cli/main.py").write_text(IMPORT_LIBRARIES)
         write_compiled_wheels(registry)
-        status, err = finish(start_build(root, registry))
+        status, err = wait_for_build(start_build(root, registry))
         assert status == 0, err
         processes = {
             release: run_instance(root, path)
@@ -107,6 +107,6 @@
 # An older Python ended with a traceback that did not name the required release.
 def test_build_by_an_unsupported_python_works_or_prints_one_line():
     with checkout() as (root, registry):
-        status, err = finish(start_build(root, registry, OLD_PYTHON))
+        status, err = wait_for_build(start_build(root, registry, OLD_PYTHON))
         assert "Traceback" not in err, err
         assert status == 0 or (err.count("\n") == 1 and "3.11" in err), err
--- a/deploy/tests/test_pip_settings.py
+++ b/deploy/tests/test_pip_settings.py
@@ -3,7 +3,12 @@
 from pathlib import Path
 from unittest.mock import patch
 
-from deploy.tests.test_build import checkout, finish, missing, start_build
+from deploy.tests.test_build import (
+    checkout,
+    missing_libraries,
+    start_build,
+    wait_for_build,
+)
 
 PIP_VARIABLES = {
     "USER": "1",
@@ -43,5 +48,5 @@
         )
         value = value.replace("ELSEWHERE", str(root.parent / "elsewhere"))
         with patch.dict(os.environ, {variable: value}):
-            status, err = finish(start_build(root, registry))
-        return err if status or missing(root) else None
+            status, err = wait_for_build(start_build(root, registry))
+        return err if status or missing_libraries(root) else None
--- a/deploy/tests/test_registry.py
+++ b/deploy/tests/test_registry.py
@@ -5,9 +5,9 @@
     LIBRARIES,
     METADATA,
     checkout,
-    finish,
-    missing,
+    missing_libraries,
     start_build,
+    wait_for_build,
     write_wheel,
 )
 
@@ -44,7 +44,7 @@
     program.write_text(
         program.read_text().replace("RETRY_PAUSE_S = 5.0", "RETRY_PAUSE_S = 0")
     )
-    return finish(start_build(root, registry))
+    return wait_for_build(start_build(root, registry))
 
 
 # The build failed for one pinned release that the registry lacked, or had no wheel of,
@@ -57,7 +57,7 @@
                 write_source(registry, "xxhash")
             status, err = build_without_pauses(root, registry)
             assert status == 0, (as_source, err)
-            assert not missing(root)
+            assert not missing_libraries(root)
             installed = [path.name for path in (root / "target").rglob("*.dist-info")]
             assert "xxhash-4.1.7.dist-info" in installed
             assert "gevent-26.9.0.dist-info" in installed  # other pins are kept
