--- a/deploy/build.py
+++ b/deploy/build.py
@@ -8,7 +8,10 @@
 A folder is replaced atomically: libraries are installed into a temporary folder, test
 imported, and exchanged with the old folder in one step. A complete folder is only read,
 so that it serves builds and instances of any user. A lock serialises builds that
-install. This module uses only the standard library.
+install.
+
+This module uses only the standard library, and syntax that older releases of Python
+can parse, so that `main` can report that they are too old.
 """
 
 from __future__ import annotations
@@ -264,12 +267,9 @@
     command = [sys.executable, "-m", "pip", "install", "--quiet", "--no-input"]
     command += ["--disable-pip-version-check", "--root-user-action=ignore"]
     command += ["--ignore-installed", "--no-deps", "--only-binary", ":all:"]
-    with (
-        tempfile.TemporaryDirectory() as folder,
-        ThreadPoolExecutor(MAX_PROBES) as pool,
-    ):
+    with tempfile.TemporaryDirectory() as tmp, ThreadPoolExecutor(MAX_PROBES) as pool:
         commands = [
-            [*command, "--target", f"{folder}/{number}", pin]
+            [*command, "--target", f"{tmp}/{number}", pin]
             for number, pin in enumerate(pins)
         ]
         deadlines = [deadline] * len(pins)
