--- a/quetzalwall/connection/endpoint_client.py
+++ b/quetzalwall/connection/endpoint_client.py
@@ -24,9 +24,9 @@
 __all__ = ["EndpointClient", "EndpointRequest", "create_endpoint_client"]
 
 CONNECT_TIMEOUT_S = 0.6  # several round trips between the farthest regions
-MAX_IDLE_S = 8.0  # shorter than the endpoints' usual 10 s
-NON_IDEMPOTENT_IDLE_S = 2.0  # such requests fail if the endpoint closes meanwhile
-KEEP_ALIVE_MARGIN_S = 1.0
+MAX_IDLE_S = 8.0  # shorter than the endpoints' usual keep-alive time of 10 s
+NON_IDEMPOTENT_IDLE_S = 2.0  # they can't be retried if the endpoint closes first
+KEEP_ALIVE_MARGIN_S = 1.0  # reuse ends this long before the endpoint closes
 MAX_INLINE_BYTES = 16 * 1024  # longer requests are sent while the response is awaited
 READ_BYTES = 64 * 1024
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024  # of a request without a memory reservation
--- a/quetzalwall/connection/tests/test_connection_limiter.py
+++ b/quetzalwall/connection/tests/test_connection_limiter.py
@@ -40,8 +40,8 @@
             server.stop(timeout=0)
 
 
-# Idle connections were limited per endpoint only, so that those to many endpoints took
-# all file descriptors together.
+# Same kind of fault as report 3: idle connections were limited per endpoint only, so
+# that those to many endpoints together used up all file descriptors.
 def test_longest_idle_connection_is_closed_at_the_limit():
     limiter = ConnectionLimiter()
     limiter.max_open = 2
--- a/quetzalwall/exceptions.py
+++ b/quetzalwall/exceptions.py
@@ -85,15 +85,15 @@
 
 
 class StoreError(QuetzalwallError):
-    """The table service or the object store rejected a request."""
+    """The store rejected a request."""
 
 
 class StoreUnavailable(StoreError):
-    """The store did not respond; a write may have taken effect."""
+    """The store is unresponsive or failing; a write may have taken effect."""
 
 
 class PeerError(QuetzalwallError):
-    """A request to another instance failed or its response was invalid."""
+    """A JSON call to another process failed or its response was invalid."""
 
 
 class EndpointError(QuetzalwallError):
@@ -123,12 +123,15 @@
 
 
 class NoRoom(NotSent):
-    """The instance may open no further connection; the endpoint is not at fault."""
+    """The instance can open no further connection; the endpoint is not at fault."""
 
 
 class OutcomeUnknown(EndpointError):
-    """Bytes of the request were sent and no response arrived."""
+    """The request may have run: it may have been sent, and no response was received."""
 
 
 class IncompleteAnswer(EndpointError):
-    """A response began and ended before its declared end."""
+    """A response arrived and can't be used, though the request may have run.
+
+    It was truncated, malformed, contradictory, a failure, or too long for the memory.
+    """
--- a/quetzalwall/process/front.py
+++ b/quetzalwall/process/front.py
@@ -232,7 +232,7 @@
         self._stopped.wait()
 
     def stop(self):
-        """Stop gracefully, after the requests in flight have been served."""
+        """Stop gracefully: wait for requests in flight, at most the grace period."""
         if self.stopping:
             return
         start, grace_s = self.clock.monotonic(), self.settings.bounds.grace_s
@@ -296,8 +296,8 @@
         log_event(LOG, "reloaded", file=self._settings_file)
 
     def _create_watch(self, table):
-        def on_rows(rows, complete, away):
-            self.cluster_state.apply(table, rows, complete, away)
+        def on_rows(rows, complete, after_outage):
+            self.cluster_state.apply(table, rows, complete, after_outage)
 
         return create_table_watch(
             self._store,
@@ -347,7 +347,7 @@
 
 
 def _file_signature(file):
-    """Return values that differ after any change of a file; None if there is none."""
+    """Return modification time, size and inode of a file; None if it can't be read."""
     try:
         status = os.stat(file)
     except OSError:
--- a/quetzalwall/process/front_interfaces.py
+++ b/quetzalwall/process/front_interfaces.py
@@ -25,7 +25,7 @@
 
 METRICS_PATH = "/metrics"
 LOOKUP_TTL_S = 2.0
-LOOKUP_INSTANCES = 3  # sampled by bandwidth, so that a caller has others if one fails
+LOOKUP_INSTANCES = 3  # if links differ in bandwidth; a caller may need another one
 LOG = get_logger("front")
 
 
--- a/quetzalwall/process/listeners.py
+++ b/quetzalwall/process/listeners.py
@@ -21,7 +21,7 @@
     name : str
         Name of the listener, for logs and errors.
     address : (str, int)
-        IP number and port.
+        IP address and port.
     start : callable
         Opens the listener; raises OSError if that fails.
     monotonic : callable
@@ -53,7 +53,7 @@
     name : str
         Name of the listener, for logs.
     address : (str, int)
-        IP number and port.
+        IP address and port.
     start : callable
         Opens the listener; raises OSError if that fails.
 
--- a/quetzalwall/process/resource_budget.py
+++ b/quetzalwall/process/resource_budget.py
@@ -17,7 +17,7 @@
 
 MB = 1_000_000
 BASE_MEMORY_MB = 56.0  # process without callers, with its log and cluster state
-BODY_MEMORY_FRACTION = 0.25  # of the rest, for bodies; each byte is copied once
+BODY_MEMORY_FRACTION = 0.25  # of the rest; bodies take up to twice that when copied
 MIN_BODY_BYTES = 4 * MB
 CONNECTION_BYTES = 36_000  # a connection with a request in flight, without its body
 MIN_CONNECTIONS = 16  # of a listener, on a machine with hardly any memory
--- a/quetzalwall/process/tests/test_advertised_limits.py
+++ b/quetzalwall/process/tests/test_advertised_limits.py
@@ -7,7 +7,7 @@
 
 from quetzalwall.tests.platform_fixtures import running_site, wait_for
 
-STABLE_S = 4.0  # from the first response that advertises a limit
+STABLE_S = 4.0  # from the first response with a limit until all instances keep it
 WINDOW_S = 4.0
 TOLERANCE, EXTRA = 1.5, 5  # factor of the limit, and requests beyond it
 
--- a/quetzalwall/process/tests/test_invalid_responses.py
+++ b/quetzalwall/process/tests/test_invalid_responses.py
@@ -20,7 +20,7 @@
             endpoint.behaviour["again"] = request_id
         for number in range(12):
             assert site.get(f"/book/{number}", method="POST")[0] == 200
-        runs = [count for end in site.endpoints for count in end.runs.values()]
+        runs = [count for ep in site.endpoints for count in ep.runs.values()]
         assert runs == [1] * 12
 
 
--- a/quetzalwall/process/tests/test_no_name_resolution.py
+++ b/quetzalwall/process/tests/test_no_name_resolution.py
@@ -1,4 +1,4 @@
-"""An instance gets only IP numbers: it needs no name service and no native thread."""
+"""An instance gets only IP addresses: it needs no name service and no native thread."""
 
 import os
 from contextlib import ExitStack, contextmanager
@@ -13,7 +13,7 @@
 )
 
 RESOLVE_S = 2.0  # an unresponsive name server takes 10 s and more
-START_S = 1.5
+MAX_START_S = 1.5  # without any name resolution
 
 
 class SlowResolver:
@@ -54,10 +54,10 @@
         resolver = stack.enter_context(slow_name_service())
         start = gevent.spawn(start_front, stack, site, 0)
         stack.callback(start.kill)
-        start.join(timeout=START_S)
+        start.join(timeout=MAX_START_S)
         assert resolver.queries == []
         assert start.ready()
-        wait_for(start.value.cluster_state.ready, START_S)
+        wait_for(start.value.cluster_state.ready, MAX_START_S)
         assert resolver.queries == []
 
 
--- a/quetzalwall/process/tests/test_product_interface.py
+++ b/quetzalwall/process/tests/test_product_interface.py
@@ -199,7 +199,7 @@
         photo = gevent.spawn(deployment.send, "east-1", "POST", "/photos", b"p", 1)
         gevent.sleep(0.1)
         stop = gevent.spawn(front.stop)
-        deployment.wait(lambda: [c.name for c in other.fleet.live()] == ["east-2"], 2.0)
+        deployment.wait(lambda: [i.name for i in other.fleet.live()] == ["east-2"], 2.0)
         assert deployment.send("east-1", "GET", "/status/1").status == 200
         assert photo.get().status == 200
         stop.join(10)
--- a/quetzalwall/tests/platform_fixtures.py
+++ b/quetzalwall/tests/platform_fixtures.py
@@ -89,11 +89,14 @@
     return [name, HOST, prefix, kind, timeout, "500ms", 1, service, 2, True, [], split]
 
 
-def entry_body(place, service="desk", state="ready", domain="north-a", **fields):
-    """Return the entry of an endpoint in the store; ``address`` is its address."""
+def entry_body(location, service="desk", state="ready", domain="north-a", **fields):
+    """Return the entry of an endpoint in the store.
+
+    ``location`` is its IP address and port; ``fields`` replace or add fields.
+    """
     body = {
         "service": service,
-        "address": f"{place[0]}:{place[1]}",
+        "address": f"{location[0]}:{location[1]}",
         "zone": domain,
         "version": "v1",
         "slots": 3,
--- a/quetzalwall/tests/test_daemon_start.py
+++ b/quetzalwall/tests/test_daemon_start.py
@@ -42,8 +42,8 @@
     assert names == [os.devnull] * 3
 
 
-# Found during that work: each line that could not be written caused a stack trace,
-# which could not be written either, without end.
+# Related: each line that could not be written caused a stack trace, which could not be
+# written either, without end.
 def test_lines_that_can_not_be_written_are_dropped():
     reader, writer = os.pipe()
     os.close(reader)
