--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, and the runner of the tests."""
+"""Measurements and the test runner."""
--- a/benchmarks/cases/__init__.py
+++ b/benchmarks/cases/__init__.py
@@ -1,1 +1,1 @@
-"""Measurement cases, one a module, each with TITLE, CONCLUSION and ``run``."""
+"""Measurement cases: modules that each have TITLE, CONCLUSION and ``run``."""
--- a/benchmarks/processes.py
+++ b/benchmarks/process_usage.py
@@ -1,31 +1,31 @@
-"""Processor time and memory of running processes, read from /proc."""
+"""CPU time and resident memory of running processes, read from /proc."""
 
 import os
 from typing import NamedTuple
 
-__all__ = ["ProcessUse", "read_use"]
+__all__ = ["ProcessUsage", "read_usage"]
 
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
-class ProcessUse(NamedTuple):
-    """Use of a process so far.
+class ProcessUsage(NamedTuple):
+    """Resource usage of a process.
 
     Attributes
     ----------
     cpu_s : float
-        Processor seconds, user and system.
+        CPU seconds since the process started, user and system.
     memory_mb : float
-        Resident memory now.
+        Current resident memory in MiB.
     """
 
     cpu_s: float
     memory_mb: float
 
 
-def read_use(pid):
-    """Return the use of a process.
+def read_usage(pid):
+    """Return the resource usage of a process.
 
     Parameters
     ----------
@@ -34,11 +34,11 @@
 
     Returns
     -------
-    ProcessUse
+    ProcessUsage
     """
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
         fields = file.read().rsplit(")", 1)[1].split()
     with open(f"/proc/{pid}/statm", encoding="ascii") as file:
         pages = int(file.read().split()[1])
     cpu_s = (int(fields[11]) + int(fields[12])) / TICKS_PER_S
-    return ProcessUse(cpu_s, pages * PAGE_BYTES / 2**20)
+    return ProcessUsage(cpu_s, pages * PAGE_BYTES / 2**20)
